--- a/crates/pondlb-control-net/src/client/link.rs
+++ b/crates/pondlb-control-net/src/client/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pondlb_http::{Message, Reader, answer_framing};
+use pondlb_http::{Message, MessageReader, response_framing};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
@@ -65,18 +65,19 @@
         status.note_call(request.len());
         let broken = |what, error| Failure::Unreached(format!("the {what} breaks: {error}"));
         stream.write_all(&request).await.map_err(|error| broken("call", error))?;
-        let mut reader = Reader::with_most(answer_framing, most_content);
+        let mut reader = MessageReader::with_max_body(response_framing, most_content);
         loop {
-            let count = stream.read(reader.room()).await.map_err(|error| broken("answer", error))?;
+            let count =
+                stream.read(reader.spare_capacity_mut()).await.map_err(|error| broken("answer", error))?;
             if count == 0 {
                 return Err(Failure::Unreached("the connection ends before the answer".into()));
             }
             status.note_received(count);
-            reader.fill(count);
+            reader.mark_filled(count);
             let read = reader.next_message().map_err(|fault| Failure::Unreadable(fault.to_string()))?;
             if let Some(message) = read {
                 // More than was asked for must not pass for the next call's answer.
-                if reader.is_idle() && !message.head.lists("Connection", "close") {
+                if reader.is_idle() && !message.head.list_contains("Connection", "close") {
                     self.kept = Some((server, stream));
                 }
                 return content_of(message, most_content);
--- a/crates/pondlb-control-net/src/coding.rs
+++ b/crates/pondlb-control-net/src/coding.rs
@@ -8,7 +8,7 @@
 use flate2::Compression;
 use flate2::bufread::GzDecoder;
 use flate2::write::GzEncoder;
-use pondlb_http::{Fault, Head};
+use pondlb_http::{Head, MessageError};
 
 /// How the bytes of a body stand for its content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -25,7 +25,7 @@
 pub enum DecodeError {
     /// The field that names the coding can't be read.
     #[error("Content-Encoding: {0}")]
-    Field(Fault),
+    Field(MessageError),
     /// The sender was not told that this coding is accepted.
     #[error("content coding {0:?} is not accepted")]
     UnknownCoding(String),
@@ -50,12 +50,16 @@
     /// The coding of the answer to a request with this head. Where the caller weighs codings against each other
     /// (`gzip;q=0.5`), its answer is not compressed.
     pub fn accepted_by(head: &Head) -> ContentCoding {
-        if head.lists("Accept-Encoding", GZIP) { ContentCoding::Gzip } else { ContentCoding::Identity }
+        if head.list_contains("Accept-Encoding", GZIP) {
+            ContentCoding::Gzip
+        } else {
+            ContentCoding::Identity
+        }
     }
 
     /// The coding that a head names.
     fn of(head: &Head) -> Result<ContentCoding, DecodeError> {
-        match head.one("Content-Encoding").map_err(DecodeError::Field)? {
+        match head.single_value("Content-Encoding").map_err(DecodeError::Field)? {
             None => Ok(ContentCoding::Identity),
             Some(name) if name.eq_ignore_ascii_case("identity") => Ok(ContentCoding::Identity),
             Some(name) if name.eq_ignore_ascii_case(GZIP) => Ok(ContentCoding::Gzip),
--- a/crates/pondlb-control-net/src/coding/tests.rs
+++ b/crates/pondlb-control-net/src/coding/tests.rs
@@ -6,7 +6,7 @@
 
 fn head(coding: Option<&str>) -> Head {
     let field = coding.map(|coding| ("Content-Encoding".to_string(), coding.as_bytes().to_vec()));
-    Head { first: "HTTP/1.1 200 OK".into(), fields: field.into_iter().collect() }
+    Head { start_line: "HTTP/1.1 200 OK".into(), fields: field.into_iter().collect() }
 }
 
 #[test]
--- a/crates/pondlb-control-net/src/http.rs
+++ b/crates/pondlb-control-net/src/http.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pondlb_http::Fault;
+use pondlb_http::MessageError;
 use serde::Serialize;
 
 use crate::coding::{ContentCoding, GZIP};
@@ -71,12 +71,12 @@
     }
 
     /// The response to what is no request. The connection ends: nobody knows where the next request begins.
-    pub fn to_fault(fault: Fault) -> Response {
+    pub fn to_fault(fault: MessageError) -> Response {
         let status = match fault {
-            Fault::Malformed(_) => Status::BadRequest,
-            Fault::HeadTooLong => Status::HeadTooLarge,
-            Fault::BodyTooLong => Status::ContentTooLarge,
-            Fault::Method => Status::MethodNotAllowed,
+            MessageError::Malformed(_) => Status::BadRequest,
+            MessageError::HeadTooLong => Status::HeadTooLarge,
+            MessageError::BodyTooLong => Status::ContentTooLarge,
+            MessageError::MethodNotAllowed => Status::MethodNotAllowed,
         };
         Response::text(status, &fault.to_string()).and_close()
     }
--- a/crates/pondlb-control-net/src/server/connection.rs
+++ b/crates/pondlb-control-net/src/server/connection.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb_http::{Fault, Head, Message, Reader, request_framing};
+use pondlb_http::{Head, Message, MessageError, MessageReader, request_framing};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -28,12 +28,12 @@
 /// The connection and what has come on it.
 struct Connection {
     stream: TcpStream,
-    reader: Reader,
+    reader: MessageReader,
 }
 
 enum Incoming {
     Message(Message),
-    Fault(Fault),
+    Fault(MessageError),
     Over,
 }
 
@@ -93,13 +93,13 @@
 }
 
 fn close_if_asked(response: Response, head: &Head) -> Response {
-    if head.lists("Connection", "close") { response.and_close() } else { response }
+    if head.list_contains("Connection", "close") { response.and_close() } else { response }
 }
 
 impl Connection {
     fn new(stream: TcpStream, most_body: usize) -> Connection {
         let _unset = stream.set_nodelay(true);
-        Connection { stream, reader: Reader::with_most(request_framing, most_body) }
+        Connection { stream, reader: MessageReader::with_max_body(request_framing, most_body) }
     }
 
     async fn next(&mut self) -> Incoming {
@@ -110,8 +110,8 @@
                     Ok(None) => {}
                     Err(fault) => return Incoming::Fault(fault),
                 }
-                match self.stream.read(self.reader.room()).await {
-                    Ok(count @ 1..) => self.reader.fill(count),
+                match self.stream.read(self.reader.spare_capacity_mut()).await {
+                    Ok(count @ 1..) => self.reader.mark_filled(count),
                     _ => return Incoming::Over,
                 }
             }
@@ -121,8 +121,8 @@
 
     /// Returns when the other side ends the connection, or sends more ahead than is kept.
     async fn ended(&mut self) {
-        while let Ok(count @ 1..) = self.stream.read(self.reader.room()).await {
-            self.reader.fill(count);
+        while let Ok(count @ 1..) = self.stream.read(self.reader.spare_capacity_mut()).await {
+            self.reader.mark_filled(count);
         }
     }
 
--- a/crates/pondlb-control-net/src/server/request.rs
+++ b/crates/pondlb-control-net/src/server/request.rs
@@ -71,7 +71,7 @@
 
 /// The method and target of a request.
 pub fn method_and_target(head: &Head) -> Result<(&str, &str), RequestError> {
-    let mut words = head.first.split(' ');
+    let mut words = head.start_line.split(' ');
     match (words.next(), words.next(), words.next(), words.next()) {
         (Some(method), Some(target), Some("HTTP/1.1"), None) if target.starts_with('/') => {
             Ok((method, target))
--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -19,7 +19,7 @@
 use crate::options::{Role, ServerOptions};
 
 fn read(line: &str) -> String {
-    let head = Head { first: line.to_string(), fields: Vec::new() };
+    let head = Head { start_line: line.to_string(), fields: Vec::new() };
     match Request::read(&head) {
         Ok(request) => format!("{request:?}\n"),
         Err(error) => format!("{error}\n"),
--- a/crates/pondlb-control-net/tests/common/mod.rs
+++ b/crates/pondlb-control-net/tests/common/mod.rs
@@ -11,7 +11,7 @@
 
 use pondlb_control::{Key, Kind, NewChange, Update, Version};
 use pondlb_control_net::{Delivered, Following, Role, Server, ServerOptions, Status, check_shape, follow};
-use pondlb_http::{Message, Reader, answer_framing, request_framing};
+use pondlb_http::{Message, MessageReader, request_framing, response_framing};
 use serde_json::value::RawValue;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -183,7 +183,7 @@
 /// A connection of a caller that speaks for itself.
 pub struct Raw {
     pub stream: TcpStream,
-    reader: Reader,
+    reader: MessageReader,
 }
 
 impl Raw {
@@ -192,7 +192,7 @@
     }
 
     pub fn over(stream: TcpStream) -> Raw {
-        Raw { stream, reader: Reader::with_most(answer_framing, 64 << 20) }
+        Raw { stream, reader: MessageReader::with_max_body(response_framing, 64 << 20) }
     }
 
     pub async fn get(&mut self, target: &str) -> Option<Message> {
@@ -212,13 +212,13 @@
     }
 }
 
-async fn next_message(stream: &mut TcpStream, reader: &mut Reader) -> Option<Message> {
+async fn next_message(stream: &mut TcpStream, reader: &mut MessageReader) -> Option<Message> {
     loop {
         if let Some(message) = reader.next_message().unwrap() {
             return Some(message);
         }
-        match stream.read(reader.room()).await {
-            Ok(count @ 1..) => reader.fill(count),
+        match stream.read(reader.spare_capacity_mut()).await {
+            Ok(count @ 1..) => reader.mark_filled(count),
             _ => return None,
         }
     }
@@ -278,9 +278,9 @@
 }
 
 async fn serve_script(mut stream: TcpStream, script: Rc<impl Fn(&str) -> Option<ScriptedAnswer>>) {
-    let mut reader = Reader::new(request_framing);
+    let mut reader = MessageReader::new(request_framing);
     while let Some(request) = next_message(&mut stream, &mut reader).await {
-        let target = request.head.first.split(' ').nth(1).unwrap_or_default();
+        let target = request.head.start_line.split(' ').nth(1).unwrap_or_default();
         let Some(ScriptedAnswer { fields, body }) = script(target) else { continue };
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{fields}\r\n", body.len());
         if stream.write_all(&[head.as_bytes(), &body].concat()).await.is_err() {
--- a/crates/pondlb-control-net/tests/compression.rs
+++ b/crates/pondlb-control-net/tests/compression.rs
@@ -34,7 +34,7 @@
 }
 
 fn is_compressed(answer: &Message) -> bool {
-    answer.head.one("Content-Encoding") == Ok(Some("gzip"))
+    answer.head.single_value("Content-Encoding") == Ok(Some("gzip"))
 }
 
 async fn get_accepting(address: SocketAddr, target: &str, accepted: &str) -> Message {
@@ -49,7 +49,7 @@
         let changes = format!("/control/changes?name=b&epoch=7&from=1900&{NO_DIGEST}&hold_ms=0");
         for target in [&*changes, "/control/snapshot", "/control/digests", "/control/bucket?bucket=3"] {
             let plain = get(origin.address, target).await;
-            assert_eq!(plain.head.one("Content-Encoding"), Ok(None), "{target}");
+            assert_eq!(plain.head.single_value("Content-Encoding"), Ok(None), "{target}");
             assert!(serde_json::from_slice::<serde_json::Value>(&plain.body).is_ok(), "{target}");
             for accepted in ["gzip", "deflate, gzip, br, zstd", "GZIP"] {
                 let answer = get_accepting(origin.address, target, accepted).await;
--- a/crates/pondlb-control-net/tests/distribution.rs
+++ b/crates/pondlb-control-net/tests/distribution.rs
@@ -198,7 +198,7 @@
         let replica = replica_server(&[scripted(|_| None)]);
         let answer = get(replica.address, "/control/snapshot").await;
         assert_eq!((status(&answer), &*text(&answer)), (503, "this server holds no state yet"));
-        assert_eq!(answer.head.one("Retry-After"), Ok(Some("1")));
+        assert_eq!(answer.head.single_value("Retry-After"), Ok(Some("1")));
     });
 }
 
--- a/crates/pondlb-control-net/tests/faults.rs
+++ b/crates/pondlb-control-net/tests/faults.rs
@@ -171,7 +171,7 @@
             );
             let answer = get(origin.address, &target).await;
             assert_eq!(status(&answer), 503, "{}", text(&answer));
-            assert_eq!(answer.head.one("Retry-After"), Ok(Some("1")));
+            assert_eq!(answer.head.single_value("Retry-After"), Ok(Some("1")));
         }
     });
 }
@@ -229,7 +229,7 @@
         let mut three = Raw::connect(origin.address).await;
         let answer = three.get("/control/followers").await.expect("an answer");
         assert_eq!((status(&answer), &*text(&answer)), (503, "too many connections"));
-        assert!(answer.head.lists("Connection", "close"));
+        assert!(answer.head.list_contains("Connection", "close"));
         assert!(three.answer().await.is_none(), "it is closed");
         drop(two);
         let start = Instant::now();
@@ -351,7 +351,7 @@
         let origin = Running::start(options);
         assert_eq!(status(&get(origin.address, "/control/snapshot").await), 200);
         let answer = get(origin.address, "/control/snapshot").await;
-        assert_eq!((status(&answer), answer.head.one("Retry-After")), (503, Ok(Some("1"))));
+        assert_eq!((status(&answer), answer.head.single_value("Retry-After")), (503, Ok(Some("1"))));
         let start = Instant::now();
         while status(&get(origin.address, "/control/snapshot").await) != 200 {
             assert!(start.elapsed() < SOON, "tokens come again");
--- a/crates/pondlb-http/src/buffer.rs
+++ b/crates/pondlb-http/src/buffer.rs
@@ -24,7 +24,7 @@
     }
 
     /// Where the next bytes go; empty when the buffer holds all it may.
-    pub fn room(&mut self) -> &mut [u8] {
+    pub fn spare_capacity_mut(&mut self) -> &mut [u8] {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
@@ -37,12 +37,12 @@
     }
 
     /// So many bytes were read into the room.
-    pub fn fill(&mut self, count: usize) {
+    pub fn mark_filled(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
 
     /// Drops so many bytes from the front.
-    pub fn take(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
--- a/crates/pondlb-http/src/head.rs
+++ b/crates/pondlb-http/src/head.rs
@@ -4,24 +4,24 @@
 
 /// Why bytes are no message, as the one who sent them may be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum MessageError {
     /// Not in the form of HTTP/1.1, for this reason.
     Malformed(&'static str),
-    /// The head is longer than [`crate::MOST_HEAD`].
+    /// The head is longer than [`crate::MAX_HEAD_BYTES`].
     HeadTooLong,
     /// The body is longer than the reader takes.
     BodyTooLong,
     /// The method is not served here.
-    Method,
+    MethodNotAllowed,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Malformed(why) => f.write_str(why),
-            Fault::HeadTooLong => f.write_str("the head is too long"),
-            Fault::BodyTooLong => f.write_str("the body is too long"),
-            Fault::Method => f.write_str("the method is not served"),
+            MessageError::Malformed(why) => f.write_str(why),
+            MessageError::HeadTooLong => f.write_str("the head is too long"),
+            MessageError::BodyTooLong => f.write_str("the body is too long"),
+            MessageError::MethodNotAllowed => f.write_str("the method is not served"),
         }
     }
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
     /// The first line, without its end.
-    pub first: String,
+    pub start_line: String,
     /// Names and values, in the order in which they came.
     pub fields: Vec<(String, Vec<u8>)>,
 }
@@ -57,57 +57,59 @@
     /// lines differently lets one client's message pass for two.
     ///
     /// # Errors
-    /// [`Fault::Malformed`] where a line is no field.
-    pub fn parse(bytes: &[u8]) -> Result<Head, Fault> {
+    /// [`MessageError::Malformed`] where a line is no field.
+    pub fn parse(bytes: &[u8]) -> Result<Head, MessageError> {
         let text = |bytes: &[u8]| str::from_utf8(bytes).map(String::from);
         let mut lines = Lines(Some(bytes));
         let first = lines.next().unwrap_or_default();
         if first.iter().any(|b| !(b' '..=b'~').contains(b)) {
-            return Err(Fault::Malformed("the first line holds a control character"));
+            return Err(MessageError::Malformed("the first line holds a control character"));
         }
-        let first = text(first).map_err(|_| Fault::Malformed("the first line is no text"))?;
+        let first = text(first).map_err(|_| MessageError::Malformed("the first line is no text"))?;
         let mut fields = Vec::new();
         for line in lines {
-            let colon =
-                line.iter().position(|b| *b == b':').ok_or(Fault::Malformed("a field has no colon"))?;
+            let colon = line
+                .iter()
+                .position(|b| *b == b':')
+                .ok_or(MessageError::Malformed("a field has no colon"))?;
             let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
             if !is_token(name) {
-                return Err(Fault::Malformed("a field's name is no token"));
+                return Err(MessageError::Malformed("a field's name is no token"));
             }
             if value.iter().any(|b| *b < b' ' && *b != b'\t' || *b == 0x7f) {
-                return Err(Fault::Malformed("a field's value holds a control character"));
+                return Err(MessageError::Malformed("a field's value holds a control character"));
             }
-            let name = text(name).map_err(|_| Fault::Malformed("a field's name is no token"))?;
+            let name = text(name).map_err(|_| MessageError::Malformed("a field's name is no token"))?;
             fields.push((name, value.to_vec()));
         }
-        Ok(Head { first, fields })
+        Ok(Head { start_line: first, fields })
     }
 
     /// The values of all fields of this name.
-    pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'n> {
+    pub fn field_values<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'n> {
         self.fields.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| &**value)
     }
 
     /// The value of a field that may stand once at most.
     ///
     /// # Errors
-    /// [`Fault::Malformed`] where it stands twice or is no text.
-    pub fn one(&self, name: &str) -> Result<Option<&str>, Fault> {
-        let mut values = self.all(name);
+    /// [`MessageError::Malformed`] where it stands twice or is no text.
+    pub fn single_value(&self, name: &str) -> Result<Option<&str>, MessageError> {
+        let mut values = self.field_values(name);
         let Some(value) = values.next() else { return Ok(None) };
         if values.next().is_some() {
-            return Err(Fault::Malformed("a field that may stand once stands twice"));
+            return Err(MessageError::Malformed("a field that may stand once stands twice"));
         }
-        str::from_utf8(value).map(Some).map_err(|_| Fault::Malformed("a field's value is no text"))
+        str::from_utf8(value).map(Some).map_err(|_| MessageError::Malformed("a field's value is no text"))
     }
 
     /// The status of an answer.
     ///
     /// # Errors
-    /// [`Fault::Malformed`] where the first line is no answer's.
-    pub fn status(&self) -> Result<u16, Fault> {
-        let bad = Fault::Malformed("the first line is no answer");
-        let (version, rest) = self.first.split_once(' ').ok_or(bad)?;
+    /// [`MessageError::Malformed`] where the first line is no answer's.
+    pub fn status(&self) -> Result<u16, MessageError> {
+        let bad = MessageError::Malformed("the first line is no answer");
+        let (version, rest) = self.start_line.split_once(' ').ok_or(bad)?;
         let status = rest.split(' ').next().unwrap_or_default();
         if !matches!(version, "HTTP/1.1" | "HTTP/1.0") || status.len() != 3 {
             return Err(bad);
@@ -116,17 +118,17 @@
     }
 
     /// Whether a comma-separated field names `word`.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        self.all(name)
+    pub fn list_contains(&self, name: &str, word: &str) -> bool {
+        self.field_values(name)
             .flat_map(|value| value.split(|b| *b == b','))
             .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 
     /// Appends the fields that go on to the next hop, but not those that `left_out` names.
-    pub fn pass_on(&self, left_out: &[&str], out: &mut Vec<u8>) {
+    pub fn append_end_to_end_fields(&self, left_out: &[&str], out: &mut Vec<u8>) {
         for (name, value) in &self.fields {
             let named = |list: &[&str]| list.iter().any(|n| n.eq_ignore_ascii_case(name));
-            if named(&HOP) || named(left_out) || self.lists("Connection", name) {
+            if named(&HOP) || named(left_out) || self.list_contains("Connection", name) {
                 continue;
             }
             out.extend_from_slice(name.as_bytes());
--- a/crates/pondlb-http/src/lib.rs
+++ b/crates/pondlb-http/src/lib.rs
@@ -7,11 +7,11 @@
 mod reader;
 
 pub use buffer::Buffer;
-pub use framing::{Body, Framing, answer_framing, framing, request_framing};
-pub use head::{Fault, Head};
-pub use reader::{MOST_HELD, Message, Reader};
+pub use framing::{BodyFraming, BodyReader, body_framing, request_framing, response_framing};
+pub use head::{Head, MessageError};
+pub use reader::{MAX_READER_BYTES, Message, MessageReader};
 
-/// The longest body that a [`Reader`] takes unless it is told otherwise.
-pub const MOST_BODY: usize = 64 * 1024;
+/// The longest body that a [`MessageReader`] takes unless it is told otherwise.
+pub const DEFAULT_MAX_BODY_BYTES: usize = 64 * 1024;
 /// The longest head: more than clients and upstreams send, and little enough for a thousand of them.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/pondlb-http/tests/reader.rs
+++ b/crates/pondlb-http/tests/reader.rs
@@ -5,26 +5,27 @@
 use expect_test::expect;
 use nanorand::{Rng, WyRand};
 use pondlb_http::{
-    Buffer, Fault, Framing, MOST_BODY, MOST_HEAD, MOST_HELD, Reader, answer_framing, request_framing,
+    BodyFraming, Buffer, DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_READER_BYTES, MessageError,
+    MessageReader, request_framing, response_framing,
 };
 
 /// The first lines and bodies that a reader makes of bytes in pieces of this size; a fault ends them.
-fn read(mut reader: Reader, bytes: &[u8], piece: usize) -> String {
+fn read(mut reader: MessageReader, bytes: &[u8], piece: usize) -> String {
     let mut made = String::new();
     for mut part in bytes.chunks(piece) {
         while !part.is_empty() {
-            let room = reader.room();
+            let room = reader.spare_capacity_mut();
             let count = part.len().min(room.len());
             assert!(count > 0, "a message that is under way always finds room");
             room[..count].copy_from_slice(&part[..count]);
-            reader.fill(count);
+            reader.mark_filled(count);
             part = &part[count..];
             loop {
                 match reader.next_message() {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         let body = message.body.escape_ascii().to_string();
-                        writeln!(made, "{:?} {body:?}", message.head.first).unwrap();
+                        writeln!(made, "{:?} {body:?}", message.head.start_line).unwrap();
                     }
                     Err(fault) => {
                         writeln!(made, "{fault}").unwrap();
@@ -34,17 +35,21 @@
             }
         }
     }
-    if let Some(message) = reader.end() {
-        writeln!(made, "{:?} {} until the end", message.head.first, message.body.escape_ascii()).unwrap();
+    if let Some(message) = reader.finish() {
+        writeln!(made, "{:?} {} until the end", message.head.start_line, message.body.escape_ascii())
+            .unwrap();
     }
     made
 }
 
 /// However the bytes are cut, the same comes of them.
-fn read_in_pieces(framing: fn(&pondlb_http::Head) -> Result<Framing, Fault>, bytes: &str) -> String {
-    let whole = read(Reader::new(framing), bytes.as_bytes(), bytes.len().max(1));
+fn read_in_pieces(
+    framing: fn(&pondlb_http::Head) -> Result<BodyFraming, MessageError>,
+    bytes: &str,
+) -> String {
+    let whole = read(MessageReader::new(framing), bytes.as_bytes(), bytes.len().max(1));
     for piece in [1, 2, 3, 5, 13, 97] {
-        assert_eq!(read(Reader::new(framing), bytes.as_bytes(), piece), whole, "in pieces of {piece}");
+        assert_eq!(read(MessageReader::new(framing), bytes.as_bytes(), piece), whole, "in pieces of {piece}");
     }
     whole
 }
@@ -77,13 +82,13 @@
         "HTTP/1.1 200 OK" "hi"
         "HTTP/1.0 200 OK" hello until the end
     "#]]
-    .assert_eq(&read_in_pieces(answer_framing, bytes));
+    .assert_eq(&read_in_pieces(response_framing, bytes));
 }
 
 #[test]
 fn what_is_no_message_is_refused() {
-    let long = "x".repeat(MOST_HEAD);
-    let too_long_body = format!("Content-Length: {}\r\n", MOST_BODY + 1);
+    let long = "x".repeat(MAX_HEAD_BYTES);
+    let too_long_body = format!("Content-Length: {}\r\n", DEFAULT_MAX_BODY_BYTES + 1);
     let mut made = String::new();
     for (fields, body) in [
         ("no colon\r\n", ""),
@@ -129,7 +134,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
     ] {
         for end in 0..answer.len() {
-            let made = read(Reader::new(answer_framing), &answer.as_bytes()[..end], 7);
+            let made = read(MessageReader::new(response_framing), &answer.as_bytes()[..end], 7);
             assert_eq!(made, "", "{:?}", &answer[..end]);
         }
     }
@@ -154,27 +159,33 @@
             }
         }
         let piece = rng.generate_range(1..50);
-        read(Reader::new(request_framing), &bytes, piece);
-        read(Reader::new(answer_framing), &bytes, piece);
+        read(MessageReader::new(request_framing), &bytes, piece);
+        read(MessageReader::new(response_framing), &bytes, piece);
     }
 }
 
 #[test]
 fn a_buffer_moves_what_is_left_to_its_front_and_gives_memory_back() {
-    let mut buffer = Buffer::new(MOST_HELD);
+    let mut buffer = Buffer::new(MAX_READER_BYTES);
     let mut trace = String::new();
     let mut note = |what: &str, buffer: &mut Buffer| {
-        writeln!(trace, "{what}: {} held, room for {}", buffer.filled().len(), buffer.room().len()).unwrap();
+        writeln!(
+            trace,
+            "{what}: {} held, room for {}",
+            buffer.filled().len(),
+            buffer.spare_capacity_mut().len()
+        )
+        .unwrap();
     };
     note("new", &mut buffer);
-    buffer.fill(2048);
+    buffer.mark_filled(2048);
     note("full", &mut buffer);
-    buffer.take(2000);
-    buffer.fill(2048);
+    buffer.consume(2000);
+    buffer.mark_filled(2048);
     note("taken and full again", &mut buffer);
-    buffer.take(2090);
+    buffer.consume(2090);
     note("nearly empty", &mut buffer);
-    buffer.take(6);
+    buffer.consume(6);
     note("empty", &mut buffer);
     expect![[r#"
         new: 0 held, room for 2048
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pondlb_http::{MOST_BODY, MOST_HEAD, MOST_HELD};
+use pondlb_http::{DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_READER_BYTES};
 use pondlb_terms::{Deployment, Settings};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -145,7 +145,7 @@
 const OWN_MEMORY: u64 = 12 << 20;
 /// A request's memory at its worst: what its client's connection holds, its message as kept and as written for
 /// one attempt, and its answer as read, kept and written.
-const REQUEST_MEMORY: u64 = (2 * MOST_HELD + 4 * (MOST_BODY + MOST_HEAD)) as u64;
+const REQUEST_MEMORY: u64 = (2 * MAX_READER_BYTES + 4 * (DEFAULT_MAX_BODY_BYTES + MAX_HEAD_BYTES)) as u64;
 /// A list may be as long as one of so many parts of the memory. As it was sent, as its upstreams and as what is known
 /// of each it holds fourteen times its length, and with more than half of the memory held nothing new is served.
 const LIST_SHARE: u64 = 40;
--- a/crates/pondlb-server/src/protocol/client.rs
+++ b/crates/pondlb-server/src/protocol/client.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 
 use pondlb::{Arrival, Tenths, ceil_from_ns, floor_from_ns};
-use pondlb_http::{Fault, Message, Reader, request_framing};
+use pondlb_http::{Message, MessageError, MessageReader, request_framing};
 
 use super::answer::Answer;
 
 pub struct ClientSide {
-    reader: Reader,
+    reader: MessageReader,
 }
 
 /// The numbers of the classes that requests may name.
@@ -45,11 +45,11 @@
 
 impl ClientSide {
     pub fn new() -> Self {
-        ClientSide { reader: Reader::new(request_framing) }
+        ClientSide { reader: MessageReader::new(request_framing) }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut Reader {
+    pub fn input(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
@@ -59,54 +59,54 @@
 
     /// Whether the client waits for [`LEAVE_TO_SEND`] before it sends a body; true once a request.
     pub fn wants_leave_to_send(&mut self) -> bool {
-        self.reader.head().is_some_and(|head| {
-            let asked = head.lists("Expect", "100-continue");
+        self.reader.pending_head_mut().is_some_and(|head| {
+            let asked = head.list_contains("Expect", "100-continue");
             head.fields.retain(|(name, _)| !(asked && name.eq_ignore_ascii_case("Expect")));
             asked
         })
     }
 
     /// The next request, which must be of one of these classes.
-    pub fn next(&mut self, classes: &Classes) -> Result<Option<Asked>, Fault> {
+    pub fn next(&mut self, classes: &Classes) -> Result<Option<Asked>, MessageError> {
         self.reader.next_message()?.map(|message| asked(message, classes)).transpose()
     }
 }
 
-fn asked(message: Message, classes: &Classes) -> Result<Asked, Fault> {
+fn asked(message: Message, classes: &Classes) -> Result<Asked, MessageError> {
     let head = &message.head;
-    let mut parts = head.first.split(' ');
+    let mut parts = head.start_line.split(' ');
     let (Some(method), Some(target), Some(version), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(Fault::Malformed("the first line is no request"));
+        return Err(MessageError::Malformed("the first line is no request"));
     };
     if version != "HTTP/1.1" && version != "HTTP/1.0" {
-        return Err(Fault::Malformed("the version is not HTTP/1.1"));
+        return Err(MessageError::Malformed("the version is not HTTP/1.1"));
     }
     if !METHODS.contains(&method) {
-        return Err(Fault::Method);
+        return Err(MessageError::MethodNotAllowed);
     }
     if !target.starts_with('/') {
-        return Err(Fault::Malformed("the target is no path"));
+        return Err(MessageError::Malformed("the target is no path"));
     }
-    if head.one("Host")?.is_none() {
-        return Err(Fault::Malformed("no Host"));
+    if head.single_value("Host")?.is_none() {
+        return Err(MessageError::Malformed("no Host"));
     }
-    let last = version == "HTTP/1.0" || head.lists("Connection", "close");
+    let last = version == "HTTP/1.0" || head.list_contains("Connection", "close");
     if method == "GET" && target.split('?').next() == Some(HEALTH) {
         return Ok(Asked { wish: Wish::Health, last });
     }
-    let id = head.one("Req-Id")?.ok_or(Fault::Malformed("no Req-Id"))?;
+    let id = head.single_value("Req-Id")?.ok_or(MessageError::Malformed("no Req-Id"))?;
     if id.is_empty() || id.len() > MOST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err(Fault::Malformed("Req-Id is no id"));
+        return Err(MessageError::Malformed("Req-Id is no id"));
     }
-    let kind = head.one("Req-Kind")?.ok_or(Fault::Malformed("no Req-Kind"))?;
-    let class = *classes.get(kind).ok_or(Fault::Malformed("Req-Kind is unknown"))?;
-    let left = head.one("Req-Deadline")?.ok_or(Fault::Malformed("no Req-Deadline"))?;
-    let left = span_ns(left).ok_or(Fault::Malformed("Req-Deadline is no time"))?;
-    let cost = match head.one("Req-Cost")? {
+    let kind = head.single_value("Req-Kind")?.ok_or(MessageError::Malformed("no Req-Kind"))?;
+    let class = *classes.get(kind).ok_or(MessageError::Malformed("Req-Kind is unknown"))?;
+    let left = head.single_value("Req-Deadline")?.ok_or(MessageError::Malformed("no Req-Deadline"))?;
+    let left = span_ns(left).ok_or(MessageError::Malformed("Req-Deadline is no time"))?;
+    let cost = match head.single_value("Req-Cost")? {
         None => None,
-        Some(cost) => Some(decimal_ns(cost, 1000).ok_or(Fault::Malformed("Req-Cost is no number"))?),
+        Some(cost) => Some(decimal_ns(cost, 1000).ok_or(MessageError::Malformed("Req-Cost is no number"))?),
     };
     let arrival = Arrival {
         request: id.into(),
@@ -115,7 +115,7 @@
         key: None,
         left: floor_from_ns(left),
         cost: cost.map(ceil_from_ns),
-        repeat: head.one("Req-Retry")? == Some("1"),
+        repeat: head.single_value("Req-Retry")? == Some("1"),
         write: method != "GET",
     };
     Ok(Asked { wish: Wish::Request { arrival, message }, last })
@@ -151,7 +151,7 @@
     match answer {
         Answer::Served(Message { head, body }) => {
             let mut out = b"HTTP/1.1 200 OK\r\n".to_vec();
-            head.pass_on(&NOT_PASSED, &mut out);
+            head.append_end_to_end_fields(&NOT_PASSED, &mut out);
             write_end(&mut out, body, last);
             out
         }
@@ -172,15 +172,18 @@
 }
 
 /// The answer to what is no request; the connection ends with it, since nobody knows where the next begins.
-pub fn write_fault(fault: Fault) -> Vec<u8> {
+pub fn write_fault(fault: MessageError) -> Vec<u8> {
     let status = match fault {
-        Fault::Malformed(_) => "400 Bad Request",
-        Fault::HeadTooLong => "431 Request Header Fields Too Large",
-        Fault::BodyTooLong => "413 Content Too Large",
-        Fault::Method => "405 Method Not Allowed",
+        MessageError::Malformed(_) => "400 Bad Request",
+        MessageError::HeadTooLong => "431 Request Header Fields Too Large",
+        MessageError::BodyTooLong => "413 Content Too Large",
+        MessageError::MethodNotAllowed => "405 Method Not Allowed",
+    };
+    let allow = if fault == MessageError::MethodNotAllowed {
+        format!("Allow: {}\r\n", METHODS.join(", "))
+    } else {
+        String::new()
     };
-    let allow =
-        if fault == Fault::Method { format!("Allow: {}\r\n", METHODS.join(", ")) } else { String::new() };
     plain(status, &allow, &fault.to_string(), true)
 }
 
--- a/crates/pondlb-server/src/protocol/discovery.rs
+++ b/crates/pondlb-server/src/protocol/discovery.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use pondlb_http::{Fault, Framing, Head, MOST_HEAD, Reader, framing};
+use pondlb_http::{BodyFraming, Head, MAX_HEAD_BYTES, MessageError, MessageReader, body_framing};
 use pondlb_terms::Target;
 use serde::Deserialize;
 
@@ -46,7 +46,7 @@
 }
 
 pub struct DiscoverySide {
-    reader: Reader,
+    reader: MessageReader,
     /// The length of the longest list that is taken, in bytes as they are sent.
     longest_list: usize,
     received: usize,
@@ -73,14 +73,14 @@
 
 impl DiscoverySide {
     pub fn new(longest_list: usize) -> Self {
-        let framing = |head: &_| framing(head, Framing::UntilClose);
+        let framing = |head: &_| body_framing(head, BodyFraming::UntilClose);
         // The reader would refuse a list that is too long without saying how long it is.
-        let reader = Reader::with_most(framing, usize::MAX);
+        let reader = MessageReader::with_max_body(framing, usize::MAX);
         DiscoverySide { reader, longest_list, received: 0 }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut Reader {
+    pub fn input(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
@@ -95,16 +95,17 @@
     }
 
     pub fn next(&mut self, closed: bool) -> Result<Option<Listed>, NoList> {
-        let message = self.reader.next_message().map_err(|fault: Fault| NoList::Faulty(fault.to_string()))?;
+        let message =
+            self.reader.next_message().map_err(|fault: MessageError| NoList::Faulty(fault.to_string()))?;
         if message.is_none() {
             self.check_length()?;
         }
-        let message = if closed { message.or_else(|| self.reader.end()) } else { message };
+        let message = if closed { message.or_else(|| self.reader.finish()) } else { message };
         let Some(message) = message else { return Ok(None) };
         if !is_list(&message.head) {
-            return Err(NoList::Status(format!("discovery answers {:?}", message.head.first)));
+            return Err(NoList::Status(format!("discovery answers {:?}", message.head.start_line)));
         }
-        let keep = !closed && self.reader.is_idle() && !message.head.lists("Connection", "close");
+        let keep = !closed && self.reader.is_idle() && !message.head.list_contains("Connection", "close");
         let list = UpstreamList::decode(&message.body).map_err(NoList::Faulty)?;
         // Which of the two is true nobody can say. Among changes the later one is.
         match list.named_twice().filter(|_| list.whole) {
@@ -116,23 +117,23 @@
     /// Whether the answer that is coming may still be taken.
     fn check_length(&mut self) -> Result<(), NoList> {
         let (received, limit) = (self.received, self.longest_list);
-        let Some(head) = self.reader.head() else { return Ok(()) };
-        let announced = head.one("Content-Length").ok().flatten();
+        let Some(head) = self.reader.pending_head_mut() else { return Ok(()) };
+        let announced = head.single_value("Content-Length").ok().flatten();
         let size = match announced {
             Some(length) => length.parse().unwrap_or(usize::MAX),
-            None => received.saturating_sub(MOST_HEAD),
+            None => received.saturating_sub(MAX_HEAD_BYTES),
         };
         if size <= limit {
             return Ok(());
         }
         match is_list(head) {
             true => Err(NoList::TooLong { size, limit }),
-            false => Err(NoList::Faulty(Fault::BodyTooLong.to_string())),
+            false => Err(NoList::Faulty(MessageError::BodyTooLong.to_string())),
         }
     }
 }
 
 /// Whether the body of this answer is a list.
 fn is_list(head: &Head) -> bool {
-    head.first.split(' ').nth(1) == Some("200")
+    head.start_line.split(' ').nth(1) == Some("200")
 }
--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -4,7 +4,7 @@
 
 use expect_test::{Expect, expect};
 use nanorand::{Rng, WyRand};
-use pondlb_http::{MOST_BODY, MOST_HEAD, Message, Reader};
+use pondlb_http::{DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, MessageReader};
 
 use super::answer::Answer;
 use super::client::{Classes, ClientSide, Wish, write_answer, write_fault};
@@ -13,7 +13,7 @@
 
 /// The three sides alike: something that is fed bytes and tells what it made of them.
 trait Side {
-    fn input(&mut self) -> &mut Reader;
+    fn input(&mut self) -> &mut MessageReader;
     /// Told how many bytes were put into the input; most sides need not know.
     fn count_received(&mut self, _: usize) {}
     /// A line for each whole message; an error ends the connection.
@@ -21,7 +21,7 @@
 }
 
 impl Side for ClientSide {
-    fn input(&mut self) -> &mut Reader {
+    fn input(&mut self) -> &mut MessageReader {
         self.input()
     }
 
@@ -48,7 +48,7 @@
                 a.cost,
                 a.repeat,
                 a.write,
-                r.head.first,
+                r.head.start_line,
                 shown(&r.body)
             ),
         }))
@@ -56,7 +56,7 @@
 }
 
 impl Side for UpstreamSide {
-    fn input(&mut self) -> &mut Reader {
+    fn input(&mut self) -> &mut MessageReader {
         self.input()
     }
 
@@ -84,7 +84,7 @@
 const LONGEST_LIST: usize = 1 << 20;
 
 impl Side for DiscoverySide {
-    fn input(&mut self) -> &mut Reader {
+    fn input(&mut self) -> &mut MessageReader {
         self.input()
     }
 
@@ -132,11 +132,11 @@
     };
     for mut part in bytes.chunks(piece) {
         while !part.is_empty() {
-            let room = side.input().room();
+            let room = side.input().spare_capacity_mut();
             let count = part.len().min(room.len());
             assert!(count > 0, "a message that is under way always finds room");
             room[..count].copy_from_slice(&part[..count]);
-            side.input().fill(count);
+            side.input().mark_filled(count);
             side.count_received(count);
             part = &part[count..];
             if !note(&mut side, false) {
@@ -186,7 +186,7 @@
 fn what_is_malformed_gets_a_4xx_and_a_close_and_is_no_request() {
     let mut made = String::new();
     let (id, kind, time) = ("Req-Id: a1\r\n", "Req-Kind: order\r\n", "Req-Deadline: 480m\r\n");
-    let long = "x".repeat(MOST_HEAD);
+    let long = "x".repeat(MAX_HEAD_BYTES);
     for (head, fields, body) in [
         ("\x16\x03\x01 a hello in another protocol", String::new(), ""),
         ("POST /api HTTP/1.1\nHost: b\n\n", String::new(), ""),
@@ -219,7 +219,7 @@
         ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: 5\r\nContent-Length: 5\r\n"), "hello"),
         ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: 5, 5\r\n"), "hello"),
         ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: +5\r\n"), "hello"),
-        ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: {}\r\n", MOST_BODY + 1), ""),
+        ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: {}\r\n", DEFAULT_MAX_BODY_BYTES + 1), ""),
         ("POST /api HTTP/1.1", format!("{FIELDS}Content-Length: {}9\r\n", u64::MAX), ""),
         ("POST /api HTTP/1.1", format!("{FIELDS}Transfer-Encoding: gzip, chunked\r\n"), ""),
         ("POST /api HTTP/1.0", format!("{FIELDS}Transfer-Encoding: chunked\r\n"), ""),
@@ -290,7 +290,7 @@
     "#]],
         ),
     ] {
-        let body = "x".repeat(MOST_BODY / 2);
+        let body = "x".repeat(DEFAULT_MAX_BODY_BYTES / 2);
         let chunk = format!("8000\r\n{body}\r\n");
         let rest = if more == 0 { "0\r\n\r\n".into() } else { format!("{more}\r\nx\r\n0\r\n\r\n") };
         let head = format!("POST / HTTP/1.1\r\n{FIELDS}Transfer-Encoding: chunked\r\n\r\n");
@@ -366,15 +366,15 @@
     let mut side = UpstreamSide::new();
     let bytes =
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho";
-    side.input().room()[..bytes.len()].copy_from_slice(bytes);
-    side.input().fill(bytes.len());
+    side.input().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes);
+    side.input().mark_filled(bytes.len());
     expect![[r#"Ok(Some("Ok \"hi\" close"))"#]].assert_eq(&format!("{:?}", side.made(false)));
 }
 
 fn request(bytes: &str) -> Message {
     let mut side = ClientSide::new();
-    side.input().room()[..bytes.len()].copy_from_slice(bytes.as_bytes());
-    side.input().fill(bytes.len());
+    side.input().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes.as_bytes());
+    side.input().mark_filled(bytes.len());
     match side.next(&Classes::from([("browse".into(), 0), ("order".into(), 1)])) {
         Ok(Some(asked)) => match asked.wish {
             Wish::Request { message, .. } => message,
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pondlb::{Load, Outcome, Tenths};
-use pondlb_http::{Fault, Head, Message, Reader, answer_framing};
+use pondlb_http::{Head, Message, MessageError, MessageReader, response_framing};
 
 use super::MOST_ANSWER;
 use super::answer::Answer;
@@ -14,11 +14,11 @@
 /// The id goes with it whatever the client's `Connection` says: without it nobody could tell a repeat.
 pub fn write_attempt(id: &str, message: &Message, wait: Tenths) -> Vec<u8> {
     let mut out = Vec::with_capacity(512 + message.body.len());
-    out.extend_from_slice(message.head.first.rsplit_once(' ').map_or("", |(line, _)| line).as_bytes());
+    out.extend_from_slice(message.head.start_line.rsplit_once(' ').map_or("", |(line, _)| line).as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    message.head.pass_on(&REWRITTEN, &mut out);
+    message.head.append_end_to_end_fields(&REWRITTEN, &mut out);
     out.extend_from_slice(format!("Req-Id: {id}\r\nReq-Deadline: {}u\r\n", wait * 100).as_bytes());
-    if !message.body.is_empty() || !message.head.first.starts_with("GET ") {
+    if !message.body.is_empty() || !message.head.start_line.starts_with("GET ") {
         out.extend_from_slice(format!("Content-Length: {}\r\n", message.body.len()).as_bytes());
     }
     out.extend_from_slice(b"\r\n");
@@ -33,7 +33,7 @@
 
 /// Reads the one answer that is due on a connection.
 pub struct UpstreamSide {
-    reader: Reader,
+    reader: MessageReader,
 }
 
 #[derive(Debug)]
@@ -48,11 +48,11 @@
 
 impl UpstreamSide {
     pub fn new() -> Self {
-        UpstreamSide { reader: Reader::with_most(answer_framing, MOST_ANSWER) }
+        UpstreamSide { reader: MessageReader::with_max_body(response_framing, MOST_ANSWER) }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut Reader {
+    pub fn input(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
@@ -62,16 +62,16 @@
     }
 
     /// The whole answer, once it has come; `closed` when the upstream has ended its side.
-    pub fn next(&mut self, closed: bool) -> Result<Option<Answered>, Fault> {
+    pub fn next(&mut self, closed: bool) -> Result<Option<Answered>, MessageError> {
         loop {
             let message = match self.reader.next_message()? {
-                None if closed => self.reader.end(),
+                None if closed => self.reader.finish(),
                 message => message,
             };
             let Some(message) = message else { return Ok(None) };
             let status = message.head.status()?;
             if status == 101 {
-                return Err(Fault::Malformed("a switch of protocols that nobody asked for"));
+                return Err(MessageError::Malformed("a switch of protocols that nobody asked for"));
             }
             // What is said ahead of the answer is nobody's answer.
             if status >= 200 {
@@ -85,7 +85,7 @@
 
 fn answered(message: Message, status: u16, clean: bool) -> Answered {
     let head = &message.head;
-    let rejected = head.one("Srv-Declined") == Ok(Some("1"));
+    let rejected = head.single_value("Srv-Declined") == Ok(Some("1"));
     let outcome = match status {
         200 => Outcome::Ok,
         503 | 504 if rejected => Outcome::Full,
@@ -95,7 +95,7 @@
         400..=499 => Outcome::Moot,
         _ => Outcome::Error,
     };
-    let keep = clean && !head.lists("Connection", "close") && head.first.starts_with("HTTP/1.1");
+    let keep = clean && !head.list_contains("Connection", "close") && head.start_line.starts_with("HTTP/1.1");
     let load = load(head);
     let reply = match outcome {
         Outcome::Ok => Some(Answer::Served(message)),
@@ -107,7 +107,7 @@
 
 /// A report is a hint: what can't be read of it is left out.
 fn load(head: &Head) -> Load {
-    let Ok(Some(report)) = head.one("Srv-Load") else { return Load::default() };
+    let Ok(Some(report)) = head.single_value("Srv-Load") else { return Load::default() };
     let value = |name: &str| {
         let text = report.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))?;
         text.parse::<f64>().ok()
--- a/crates/pondlb-server/src/routing/tests.rs
+++ b/crates/pondlb-server/src/routing/tests.rs
@@ -108,7 +108,7 @@
 
     fn arrive(&mut self, now: Tenths, name: &'static str, class: u32, left: Tenths) {
         let (answer, answered) = oneshot::channel();
-        let head = Head { first: "GET / HTTP/1.1".into(), fields: Vec::new() };
+        let head = Head { start_line: "GET / HTTP/1.1".into(), fields: Vec::new() };
         let (request, tenant, key, cost) = (name.into(), 0, None, None);
         let arrival = Arrival { request, class, tenant, key, left, cost, repeat: false, write: false };
         self.waiting.push((name, answered));
@@ -118,7 +118,7 @@
     fn end(&mut self, now: Tenths, name: &str, attempt: u32, outcome: Outcome) {
         let mut end = End::from(outcome);
         if outcome == Outcome::Ok {
-            let head = Head { first: "HTTP/1.1 200 OK".into(), fields: Vec::new() };
+            let head = Head { start_line: "HTTP/1.1 200 OK".into(), fields: Vec::new() };
             end.reply = Some(Answer::Served(Message { head, body: format!("of {name} {attempt}").into() }));
         }
         self.step(now, Some(Note::Ended { attempt: (name.into(), attempt), end }));
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pondlb::{RequestId, Tenths};
-use pondlb_http::Fault;
+use pondlb_http::MessageError;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -48,7 +48,7 @@
 
 enum Next {
     Asked(Asked),
-    Fault(Fault),
+    Fault(MessageError),
     TooSlow,
     Overloaded,
     /// The balancer ends the connection, on which nothing is owed.
@@ -209,7 +209,7 @@
 /// Returns when the client closes its side. What it sends ahead meanwhile is kept up to the buffer's bound, beyond
 /// which nothing ahead is served: it is read on and thrown away, since a close comes behind all that was sent.
 async fn leaves(stream: &TcpStream, side: &mut ClientSide, overrun: &Cell<bool>) {
-    while !side.input().room().is_empty() {
+    while !side.input().spare_capacity_mut().is_empty() {
         if !matches!(feed(stream, side.input()).await, Ok(1..)) {
             return;
         }
--- a/crates/pondlb-server/src/transport/stream.rs
+++ b/crates/pondlb-server/src/transport/stream.rs
@@ -1,7 +1,7 @@
 use std::io;
 use std::mem::MaybeUninit;
 
-use pondlb_http::Reader;
+use pondlb_http::MessageReader;
 use socket2::SockRef;
 use tokio::io::Interest;
 use tokio::net::TcpStream;
@@ -19,9 +19,9 @@
 }
 
 /// The same for the reader of a connection.
-pub async fn feed(stream: &TcpStream, reader: &mut Reader) -> io::Result<usize> {
-    let count = read(stream, reader.room()).await?;
-    reader.fill(count);
+pub async fn feed(stream: &TcpStream, reader: &mut MessageReader) -> io::Result<usize> {
+    let count = read(stream, reader.spare_capacity_mut()).await?;
+    reader.mark_filled(count);
     Ok(count)
 }
 
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -263,7 +263,7 @@
     let limit = Duration::from_secs(60);
     let (pool, memory) = (Pool::new(4, limit, limit), Memory { most: usize::MAX });
     let mut attempts = Attempts { pool, clock, memory, notes, asks, probing: None };
-    let head = Head { first: "POST / HTTP/1.1".into(), fields: Vec::new() };
+    let head = Head { start_line: "POST / HTTP/1.1".into(), fields: Vec::new() };
     let _task = attempts.send(Order {
         id: ("a1".into(), 1),
         upstream: "s1".into(),
