--- a/crates/pondlb-http/src/buffer.rs
+++ b/crates/pondlb-http/src/buffer.rs
@@ -1,54 +1,60 @@
-//! The buffer of a connection.
+//! The receive buffer of a connection.
 
-/// The one buffer of a connection: bytes are read into its end and taken from its front. It grows as a
-/// message needs, moves what is left to its front rather than grow, and gives memory back when empty.
+/// The receive buffer of a connection: received bytes are appended at the end and consumed from the front.
+///
+/// When the end of the storage is reached, unconsumed bytes are moved to the front; the storage grows, up to a limit,
+/// only if there is nothing to move. An empty buffer releases storage beyond its initial size.
 pub struct Buffer {
-    bytes: Vec<u8>,
+    storage: Vec<u8>,
+    /// Offset in `storage` of the first byte that was received and not yet consumed.
     start: usize,
+    /// Offset in `storage` behind the last received byte.
     end: usize,
-    most: usize,
+    /// Maximum length of `storage`, in bytes.
+    max_bytes: usize,
 }
 
-/// The size of the first allocation.
-const FIRST: usize = 2 * 1024;
+/// Size of the first allocation, in bytes.
+const INITIAL_BYTES: usize = 2 * 1024;
 
 impl Buffer {
-    /// An empty buffer that holds `most` bytes at most; nothing is allocated yet.
-    pub fn new(most: usize) -> Self {
-        Buffer { bytes: Vec::new(), start: 0, end: 0, most }
+    /// Creates an empty buffer that holds at most `max_bytes` bytes. Nothing is allocated yet.
+    pub fn new(max_bytes: usize) -> Self {
+        Buffer { storage: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
-    /// The bytes that were read and not taken yet.
+    /// Returns the bytes that were received and not yet consumed.
     pub fn filled(&self) -> &[u8] {
-        &self.bytes[self.start..self.end]
+        &self.storage[self.start..self.end]
     }
 
-    /// Where the next bytes go; empty when the buffer holds all it may.
+    /// Returns the free space for the next received bytes; empty when the buffer holds `max_bytes` bytes.
     pub fn spare_capacity_mut(&mut self) -> &mut [u8] {
-        if self.end == self.bytes.len() && self.start > 0 {
-            self.bytes.copy_within(self.start..self.end, 0);
+        if self.end == self.storage.len() && self.start > 0 {
+            self.storage.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
         }
-        if self.end == self.bytes.len() {
-            let size = (2 * self.bytes.len()).clamp(FIRST.min(self.most), self.most);
-            self.bytes.resize(size, 0);
+        if self.end == self.storage.len() {
+            let smallest = INITIAL_BYTES.min(self.max_bytes);
+            let size = (2 * self.storage.len()).clamp(smallest, self.max_bytes);
+            self.storage.resize(size, 0);
         }
-        &mut self.bytes[self.end..]
+        &mut self.storage[self.end..]
     }
 
-    /// So many bytes were read into the room.
+    /// Appends the first `count` bytes of the free space, into which the caller has read them.
     pub fn mark_filled(&mut self, count: usize) {
-        self.end = (self.end + count).min(self.bytes.len());
+        self.end = (self.end + count).min(self.storage.len());
     }
 
-    /// Drops so many bytes from the front.
+    /// Drops `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
-            // A connection that stands idle must not keep what its largest message needed.
-            if self.bytes.len() > FIRST {
-                self.bytes = Vec::new();
+            // An idle connection must not keep the memory that its largest message needed.
+            if self.storage.len() > INITIAL_BYTES {
+                self.storage = Vec::new();
             }
         }
     }
