--- a/crates/pondlb-http/src/framing.rs
+++ b/crates/pondlb-http/src/framing.rs
@@ -1,35 +1,37 @@
-//! Where the body of a message ends.
+//! Body framing: where the body of a message ends, and reading it up to that point.
 
 use crate::buffer::Buffer;
 use crate::head::{Head, MessageError};
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// After so many bytes.
+    /// The body has this length in bytes.
     Length(usize),
-    /// With the chunk of length zero and the trailers behind it.
+    /// Chunked transfer coding: the body ends with the zero-length chunk and the trailer section behind it.
     Chunked,
-    /// With the connection.
+    /// The body ends when the sender closes the connection.
     UntilClose,
 }
 
-/// What the head says of the body; `unsaid` where it says nothing. Two answers to one question are refused:
-/// the next reader may believe the other one and take part of a body for a message.
+/// Returns the body framing that the head declares, or `default` if it declares none.
+///
+/// Ambiguous framing (both fields, or a repeated field) is rejected: another HTTP implementation on the path might
+/// decide for the other reading and take part of a body for a message (request smuggling).
 ///
 /// # Errors
-/// [`MessageError::Malformed`] for two answers, or one that is none.
-pub fn body_framing(head: &Head, unsaid: BodyFraming) -> Result<BodyFraming, MessageError> {
+/// [`MessageError::Malformed`] if the framing is ambiguous, invalid, or a transfer coding other than `chunked`.
+pub fn body_framing(head: &Head, default: BodyFraming) -> Result<BodyFraming, MessageError> {
     let length = head.single_value("Content-Length")?;
     let coding = head.single_value("Transfer-Encoding")?;
     match (length, coding) {
         (Some(_), Some(_)) => Err(MessageError::Malformed("both Content-Length and Transfer-Encoding")),
-        (None, None) => Ok(unsaid),
+        (None, None) => Ok(default),
         (Some(length), None) => {
             if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(MessageError::Malformed("Content-Length is no number"));
             }
-            // A number beyond all bounds is refused like one beyond ours, by the body.
+            // A length that overflows is saturated, so that the limit on the body's length rejects it.
             Ok(BodyFraming::Length(length.parse().unwrap_or(usize::MAX)))
         }
         (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
@@ -37,23 +39,24 @@
     }
 }
 
-/// The framing of a request.
+/// Returns the body framing of a request. A request that declares none has no body.
 ///
 /// # Errors
-/// [`MessageError::Malformed`] where the head says two things of the body, or what can't be.
+/// [`MessageError::Malformed`] if the framing is ambiguous or invalid, or an HTTP/1.0 request is chunked.
 pub fn request_framing(head: &Head) -> Result<BodyFraming, MessageError> {
     let framing = body_framing(head, BodyFraming::Length(0))?;
-    // The older version has no chunks: who takes them for a body may be led past its end.
+    // HTTP/1.0 has no chunked coding: another implementation that ignores it finds the body's end elsewhere.
     if framing == BodyFraming::Chunked && head.start_line.ends_with("/1.0") {
         return Err(MessageError::Malformed("a chunked body in HTTP/1.0"));
     }
     Ok(framing)
 }
 
-/// The framing of an answer.
+/// Returns the body framing of a response. Responses with status 1xx, 204 and 304 have no body, whatever their fields
+/// say; any other response that declares no framing ends with the connection.
 ///
 /// # Errors
-/// [`MessageError::Malformed`] where the first line is no answer's, or the head says two things of the body.
+/// [`MessageError::Malformed`] if the first line is not a status line, or the framing is ambiguous or invalid.
 pub fn response_framing(head: &Head) -> Result<BodyFraming, MessageError> {
     match head.status()? {
         100..=199 | 204 | 304 => Ok(BodyFraming::Length(0)),
@@ -61,63 +64,77 @@
     }
 }
 
-/// Takes a body out of the buffer as it comes.
+/// Reads one body out of a [`Buffer`], in as many steps as its bytes arrive.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: BodyFraming,
-    chunk: Chunk,
-    most: usize,
-    /// What has come of it.
+    /// Position within a chunked body; unused with any other framing.
+    chunk_state: ChunkState,
+    /// Maximum length of the body, in bytes.
+    max_bytes: usize,
+    /// The part of the body received so far, without its framing.
     pub received: Vec<u8>,
 }
 
+/// What a chunked body continues with.
 #[derive(Clone, Copy, Debug)]
-enum Chunk {
+enum ChunkState {
+    /// The line with the size of the next chunk.
     Size,
-    Data(usize),
+    /// The data of a chunk.
+    Data {
+        /// Bytes of the chunk that have not been received.
+        remaining: usize,
+    },
+    /// The CR LF behind the data of a chunk.
     DataEnd,
+    /// A line of the trailer section.
     Trailer,
-    Over,
+    /// Nothing: the body is complete.
+    Done,
 }
 
-/// A chunk's size line, or a trailer line, is refused above this: nobody needs more and it would never end.
-const MOST_LINE: usize = 1024;
+/// Maximum length in bytes of an unfinished chunk size line or trailer line. No sender needs more, and a longer line
+/// may never end.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
 impl BodyReader {
-    /// A body of which nothing has come.
+    /// Creates a reader for a body of at most `max_bytes` bytes.
     ///
     /// # Errors
-    /// [`MessageError::BodyTooLong`] at once where it says that it will be longer than `most`.
-    pub fn new(framing: BodyFraming, most: usize) -> Result<Self, MessageError> {
+    /// [`MessageError::BodyTooLong`] if the declared length exceeds `max_bytes`.
+    pub fn new(framing: BodyFraming, max_bytes: usize) -> Result<Self, MessageError> {
         match framing {
-            BodyFraming::Length(length) if length > most => Err(MessageError::BodyTooLong),
-            _ => Ok(BodyReader { framing, chunk: Chunk::Size, most, received: Vec::new() }),
+            BodyFraming::Length(length) if length > max_bytes => Err(MessageError::BodyTooLong),
+            _ => Ok(BodyReader { framing, chunk_state: ChunkState::Size, max_bytes, received: Vec::new() }),
         }
     }
 
-    /// Whether it ends with the connection.
+    /// Returns whether the body ends when the connection is closed.
     pub fn ends_at_close(&self) -> bool {
         self.framing == BodyFraming::UntilClose
     }
 
-    /// Takes what the buffer holds of it; true when the body is whole.
+    /// Consumes the bytes of the body that the buffer holds. Returns true when the body is complete; a body that ends
+    /// when the connection is closed never is.
     ///
     /// # Errors
-    /// [`MessageError`] where it grows too long, or chunks are malformed.
+    /// [`MessageError`] if the body exceeds its maximum length, or its chunked coding is malformed.
     pub fn read_from(&mut self, buffer: &mut Buffer) -> Result<bool, MessageError> {
         match self.framing {
             BodyFraming::Length(length) => {
-                self.append(buffer, length - self.received.len())?;
+                self.append_from(buffer, length - self.received.len())?;
                 Ok(self.received.len() == length)
             }
-            BodyFraming::UntilClose => self.append(buffer, usize::MAX).map(|_| false),
-            BodyFraming::Chunked => self.take_chunks(buffer),
+            BodyFraming::UntilClose => self.append_from(buffer, usize::MAX).map(|_| false),
+            BodyFraming::Chunked => self.read_chunks(buffer),
         }
     }
 
-    fn append(&mut self, buffer: &mut Buffer, most: usize) -> Result<usize, MessageError> {
-        let count = most.min(buffer.filled().len());
-        if self.received.len() + count > self.most {
+    /// Moves at most `max_count` bytes from the buffer to the body, and returns how many were moved.
+    fn append_from(&mut self, buffer: &mut Buffer, max_count: usize) -> Result<usize, MessageError> {
+        let count = max_count.min(buffer.filled().len());
+        if self.received.len() + count > self.max_bytes {
             return Err(MessageError::BodyTooLong);
         }
         self.received.extend_from_slice(&buffer.filled()[..count]);
@@ -125,60 +142,68 @@
         Ok(count)
     }
 
-    fn take_chunks(&mut self, buffer: &mut Buffer) -> Result<bool, MessageError> {
+    /// Decodes chunks until the buffer has no further complete element. Returns true when the body is complete.
+    fn read_chunks(&mut self, buffer: &mut Buffer) -> Result<bool, MessageError> {
         loop {
-            self.chunk = match self.chunk {
-                Chunk::Size => match take_line(buffer, chunk_size)? {
+            self.chunk_state = match self.chunk_state {
+                ChunkState::Size => match read_chunk_line(buffer, parse_chunk_size)? {
                     None => return Ok(false),
-                    Some(0) => Chunk::Trailer,
-                    Some(size) if size > self.most => return Err(MessageError::BodyTooLong),
-                    Some(size) => Chunk::Data(size),
+                    Some(0) => ChunkState::Trailer,
+                    Some(size) if size > self.max_bytes => return Err(MessageError::BodyTooLong),
+                    Some(size) => ChunkState::Data { remaining: size },
                 },
-                Chunk::Data(left) => match left - self.append(buffer, left)? {
-                    0 => Chunk::DataEnd,
-                    left => {
-                        self.chunk = Chunk::Data(left);
+                ChunkState::Data { remaining } => match remaining - self.append_from(buffer, remaining)? {
+                    0 => ChunkState::DataEnd,
+                    remaining => {
+                        self.chunk_state = ChunkState::Data { remaining };
                         return Ok(false);
                     }
                 },
-                Chunk::DataEnd => match buffer.filled() {
+                ChunkState::DataEnd => match buffer.filled() {
                     [b'\r', b'\n', ..] => {
                         buffer.consume(2);
-                        Chunk::Size
+                        ChunkState::Size
                     }
                     [] | [b'\r'] => return Ok(false),
                     _ => return Err(MessageError::Malformed("a chunk is longer than it says")),
                 },
-                // Trailers are dropped: what they would add came too late for anybody to act on.
-                Chunk::Trailer => match take_line(buffer, |line| Ok(line.is_empty()))? {
+                // Trailer fields are discarded: they arrive too late for the message to be handled differently.
+                ChunkState::Trailer => match read_chunk_line(buffer, |line| Ok(line.is_empty()))? {
                     None => return Ok(false),
-                    Some(true) => Chunk::Over,
-                    Some(false) => Chunk::Trailer,
+                    Some(true) => ChunkState::Done,
+                    Some(false) => ChunkState::Trailer,
                 },
-                Chunk::Over => return Ok(true),
+                ChunkState::Done => return Ok(true),
             }
         }
     }
 }
 
-fn take_line<T>(
+/// Consumes one line of the chunked coding and returns what `parse` makes of it, or `None` if the line is incomplete.
+/// A line that `parse` rejects is not consumed.
+fn read_chunk_line<T>(
     buffer: &mut Buffer,
-    read: impl Fn(&[u8]) -> Result<T, MessageError>,
+    parse: impl Fn(&[u8]) -> Result<T, MessageError>,
 ) -> Result<Option<T>, MessageError> {
     let filled = buffer.filled();
-    let Some(at) = filled.iter().position(|b| *b == b'\n') else {
-        let long = filled.len() > MOST_LINE;
-        return if long { Err(MessageError::Malformed("a chunk's line is too long")) } else { Ok(None) };
+    let Some(line_feed) = filled.iter().position(|b| *b == b'\n') else {
+        let is_too_long = filled.len() > MAX_CHUNK_LINE_BYTES;
+        return if is_too_long {
+            Err(MessageError::Malformed("a chunk's line is too long"))
+        } else {
+            Ok(None)
+        };
     };
-    let line = filled[..at]
+    let line = filled[..line_feed]
         .strip_suffix(b"\r")
         .ok_or(MessageError::Malformed("a chunk's line ends in a lone LF"))?;
-    let value = read(line)?;
-    buffer.consume(at + 1);
+    let value = parse(line)?;
+    buffer.consume(line_feed + 1);
     Ok(Some(value))
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, MessageError> {
+/// Parses the hexadecimal size at the start of a chunk size line. Chunk extensions are ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, MessageError> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(MessageError::Malformed("a chunk's size is no number"));
