--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -341,8 +341,8 @@
             Moot unfit keep
             Error - keep
             a switch of protocols that nobody asked for
-            the first line is no answer
-            the first line is no answer
+            the first line is not a status line
+            the first line is not a status line
             both Content-Length and Transfer-Encoding
         "#]],
     );
