--- a/crates/pondlb-http/src/lib.rs
+++ b/crates/pondlb-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads HTTP/1.1 messages out of bytes, in whatever pieces they come, within bounds of memory. Knows no socket and no
-//! clock.
+//! Incremental HTTP/1.1 message parser with bounded memory. It does no I/O and reads no clock: callers pass in the
+//! received bytes, split at any position.
 
 mod buffer;
 mod framing;
@@ -9,9 +9,10 @@
 pub use buffer::Buffer;
 pub use framing::{BodyFraming, BodyReader, body_framing, request_framing, response_framing};
 pub use head::{Head, MessageError};
-pub use reader::{MAX_READER_BYTES, Message, MessageReader};
+pub use reader::{FramingFn, MAX_READER_BYTES, Message, MessageReader};
 
-/// The longest body that a [`MessageReader`] takes unless it is told otherwise.
+/// Maximum length of a body, in bytes, unless [`MessageReader::with_max_body`] sets another limit.
 pub const DEFAULT_MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest head: more than clients and upstreams send, and little enough for a thousand of them.
+/// Maximum length of a message head, in bytes. It is larger than the heads that clients and upstreams send, and small
+/// enough for a thousand heads to be in memory at once.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/pondlb-http/src/reader.rs
+++ b/crates/pondlb-http/src/reader.rs
@@ -1,119 +1,148 @@
-//! The reader of a connection.
+//! The message reader of a connection.
 
 use crate::buffer::Buffer;
 use crate::framing::{BodyFraming, BodyReader};
 use crate::head::{Head, MessageError};
 use crate::{DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// What a client sent or an upstream made of it, as it came.
+/// A complete request or response.
 #[derive(Debug, PartialEq)]
 pub struct Message {
-    /// The head, with its fields as they came.
+    /// The head, with all fields as received.
     pub head: Head,
-    /// The body without its framing.
+    /// The body, with chunked coding removed.
     pub body: Vec<u8>,
 }
 
-/// Reads the messages of one direction of one connection, whatever pieces they come in.
+/// Determines the framing of a message's body from its head: [`crate::request_framing`], [`crate::response_framing`]
+/// or a function of the caller.
+pub type FramingFn = fn(&Head) -> Result<BodyFraming, MessageError>;
+
+/// Reads the messages that arrive in one direction of a connection, split at any position.
+///
+/// The caller copies received bytes into [`MessageReader::spare_capacity_mut`], reports their number to
+/// [`MessageReader::mark_filled`], and calls [`MessageReader::next_message`] until it returns `None`.
 pub struct MessageReader {
     buffer: Buffer,
-    /// How far the end of the head was looked for, or a slow sender's head is searched over and over.
-    searched: usize,
-    begun: Option<(Head, BodyReader)>,
-    most_body: usize,
-    framing: fn(&Head) -> Result<BodyFraming, MessageError>,
+    /// Number of buffered bytes already searched for the end of the head. Without it, the head of a slow sender would be
+    /// searched from its start each time a few bytes arrive.
+    searched_bytes: usize,
+    /// The message whose body is incomplete.
+    pending: Option<PendingMessage>,
+    max_body_bytes: usize,
+    framing: FramingFn,
+}
+
+/// A message whose head is complete and whose body may not be.
+struct PendingMessage {
+    head: Head,
+    body: BodyReader,
+}
+
+impl PendingMessage {
+    fn into_message(self) -> Message {
+        Message { head: self.head, body: self.body.received }
+    }
 }
 
+/// Length of the CR LF CR LF behind the last field of a head, in bytes.
+const HEAD_END_BYTES: usize = 4;
+/// Capacity of the receive buffer, in bytes: a head of the maximum length with its end.
+const BUFFER_BYTES: usize = MAX_HEAD_BYTES + HEAD_END_BYTES;
+/// Memory budget of one reader with the default body limit, in bytes: the receive buffer, the parsed head and the body
+/// of one message.
+pub const MAX_READER_BYTES: usize = 2 * BUFFER_BYTES + DEFAULT_MAX_BODY_BYTES;
+
 impl MessageReader {
-    /// A reader that takes bodies of up to [`DEFAULT_MAX_BODY_BYTES`]; `framing` says where they end.
-    pub fn new(framing: fn(&Head) -> Result<BodyFraming, MessageError>) -> Self {
+    /// Creates a reader that accepts bodies of up to [`DEFAULT_MAX_BODY_BYTES`].
+    pub fn new(framing: FramingFn) -> Self {
         MessageReader::with_max_body(framing, DEFAULT_MAX_BODY_BYTES)
     }
 
-    /// The same for bodies of up to `most_body`.
-    pub fn with_max_body(framing: fn(&Head) -> Result<BodyFraming, MessageError>, most_body: usize) -> Self {
+    /// Creates a reader that accepts bodies of up to `max_body_bytes` bytes.
+    pub fn with_max_body(framing: FramingFn, max_body_bytes: usize) -> Self {
         MessageReader {
-            buffer: Buffer::new(MAX_HEAD_BYTES + 4),
-            searched: 0,
-            begun: None,
-            most_body,
+            buffer: Buffer::new(BUFFER_BYTES),
+            searched_bytes: 0,
+            pending: None,
+            max_body_bytes,
             framing,
         }
     }
 
-    /// Where the next bytes go. Empty when more has come than is read ahead of the message at hand.
+    /// Returns the free space for the next received bytes. It is empty when the sender is so far ahead of the message
+    /// being read that the buffer is full.
     pub fn spare_capacity_mut(&mut self) -> &mut [u8] {
         self.buffer.spare_capacity_mut()
     }
 
-    /// So many bytes were read into the room.
+    /// Appends the first `count` bytes of the free space, into which the caller has read them.
     pub fn mark_filled(&mut self, count: usize) {
         self.buffer.mark_filled(count);
     }
 
-    /// Whether nothing of a message has come yet.
+    /// Returns whether no part of a further message has been received.
     pub fn is_idle(&self) -> bool {
-        self.begun.is_none() && self.buffer.filled().is_empty()
+        self.pending.is_none() && self.buffer.filled().is_empty()
     }
 
-    /// The head of a message whose body has not all come.
+    /// Returns the head of the message whose body is incomplete, if any.
     pub fn pending_head_mut(&mut self) -> Option<&mut Head> {
-        self.begun.as_mut().map(|(head, _)| head)
+        self.pending.as_mut().map(|pending| &mut pending.head)
     }
 
-    /// The next whole message, once it has come.
+    /// Returns the next message once it is complete.
     ///
     /// # Errors
-    /// [`MessageError`] where the bytes are no message; the reader is of no use from then on.
+    /// [`MessageError`] if the received bytes are not a message or exceed a limit. The reader must not be used
+    /// afterwards, since the start of the next message is unknown.
     pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
-        if self.begun.is_none() {
-            let Some(head) = self.take_head()? else { return Ok(None) };
-            let body = BodyReader::new((self.framing)(&head)?, self.most_body)?;
-            self.begun = Some((head, body));
+        if self.pending.is_none() {
+            let Some(head) = self.read_head()? else { return Ok(None) };
+            let body = BodyReader::new((self.framing)(&head)?, self.max_body_bytes)?;
+            self.pending = Some(PendingMessage { head, body });
         }
-        let Some((_, body)) = &mut self.begun else { return Ok(None) };
-        if !body.read_from(&mut self.buffer)? {
+        let Some(pending) = &mut self.pending else { return Ok(None) };
+        if !pending.body.read_from(&mut self.buffer)? {
             return Ok(None);
         }
-        Ok(self.begun.take().map(|(head, body)| Message { head, body: body.received }))
+        Ok(self.pending.take().map(PendingMessage::into_message))
     }
 
-    /// The sender has ended its side: the message that this completes. Any other that was begun is cut short
-    /// and must not pass for whole.
+    /// Called when the sender has closed its side of the connection. Returns the message that this completes, if its
+    /// body ends with the connection. Any other pending message is truncated and is dropped.
     pub fn finish(&mut self) -> Option<Message> {
-        let (head, body) = self.begun.take()?;
-        body.ends_at_close().then_some(Message { head, body: body.received })
+        let pending = self.pending.take()?;
+        pending.body.ends_at_close().then(|| pending.into_message())
     }
 
-    fn take_head(&mut self) -> Result<Option<Head>, MessageError> {
-        // Some clients end a body with one line end too many.
+    /// Consumes and parses a head once it is complete.
+    fn read_head(&mut self) -> Result<Option<Head>, MessageError> {
+        // Some clients send a CR LF too many after a body.
         while self.buffer.filled().starts_with(b"\r\n") {
             self.buffer.consume(2);
-            self.searched = 0;
+            self.searched_bytes = 0;
         }
         let filled = self.buffer.filled();
-        // Another protocol: waiting for the end of such a head would be in vain.
+        // Another protocol, which need not contain the end of a head: rejected without waiting for one.
         if filled.first().is_some_and(|b| !b.is_ascii_alphabetic() && *b != b'\r') {
             return Err(MessageError::Malformed("this is no HTTP"));
         }
-        for at in self.searched..filled.len() {
-            if filled[at] != b'\n' {
+        for position in self.searched_bytes..filled.len() {
+            if filled[position] != b'\n' {
                 continue;
             }
-            let head = filled[..at]
+            let lines = filled[..position]
                 .strip_suffix(b"\r")
                 .ok_or(MessageError::Malformed("a line ends in a lone LF"))?;
-            if let Some(head) = head.strip_suffix(b"\r\n") {
+            if let Some(head) = lines.strip_suffix(b"\r\n") {
                 let head = Head::parse(head)?;
-                self.buffer.consume(at + 1);
-                self.searched = 0;
+                self.buffer.consume(position + 1);
+                self.searched_bytes = 0;
                 return Ok(Some(head));
             }
         }
-        self.searched = filled.len();
+        self.searched_bytes = filled.len();
         if filled.len() >= MAX_HEAD_BYTES { Err(MessageError::HeadTooLong) } else { Ok(None) }
     }
 }
-
-/// What one reader may hold at most, for the budget of memory.
-pub const MAX_READER_BYTES: usize = 2 * (MAX_HEAD_BYTES + 4) + DEFAULT_MAX_BODY_BYTES;
