--- a/crates/pondlb-http/tests/reader.rs
+++ b/crates/pondlb-http/tests/reader.rs
@@ -1,61 +1,62 @@
-//! The reader, byte by byte and on garbage.
+//! Message parsing: valid messages, malformed and truncated ones, and corrupted input, each split into segments of
+//! several sizes.
 
 use std::fmt::Write;
 
 use expect_test::expect;
 use nanorand::{Rng, WyRand};
 use pondlb_http::{
-    BodyFraming, Buffer, DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_READER_BYTES, MessageError,
-    MessageReader, request_framing, response_framing,
+    Buffer, DEFAULT_MAX_BODY_BYTES, FramingFn, MAX_HEAD_BYTES, MAX_READER_BYTES, MessageReader,
+    request_framing, response_framing,
 };
 
-/// The first lines and bodies that a reader makes of bytes in pieces of this size; a fault ends them.
-fn read(mut reader: MessageReader, bytes: &[u8], piece: usize) -> String {
-    let mut made = String::new();
-    for mut part in bytes.chunks(piece) {
-        while !part.is_empty() {
-            let room = reader.spare_capacity_mut();
-            let count = part.len().min(room.len());
-            assert!(count > 0, "a message that is under way always finds room");
-            room[..count].copy_from_slice(&part[..count]);
+/// Feeds `bytes` to the reader in segments of `segment_bytes`, then closes the connection. Returns the start line and
+/// body of each message, one per line; an error ends the list.
+fn parse_in_segments(mut reader: MessageReader, bytes: &[u8], segment_bytes: usize) -> String {
+    let mut trace = String::new();
+    for mut segment in bytes.chunks(segment_bytes) {
+        while !segment.is_empty() {
+            let space = reader.spare_capacity_mut();
+            let count = segment.len().min(space.len());
+            assert!(count > 0, "the reader must always have space for more of an incomplete message");
+            space[..count].copy_from_slice(&segment[..count]);
             reader.mark_filled(count);
-            part = &part[count..];
+            segment = &segment[count..];
             loop {
                 match reader.next_message() {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         let body = message.body.escape_ascii().to_string();
-                        writeln!(made, "{:?} {body:?}", message.head.start_line).unwrap();
+                        writeln!(trace, "{:?} {body:?}", message.head.start_line).unwrap();
                     }
-                    Err(fault) => {
-                        writeln!(made, "{fault}").unwrap();
-                        return made;
+                    Err(error) => {
+                        writeln!(trace, "{error}").unwrap();
+                        return trace;
                     }
                 }
             }
         }
     }
     if let Some(message) = reader.finish() {
-        writeln!(made, "{:?} {} until the end", message.head.start_line, message.body.escape_ascii())
-            .unwrap();
+        let body = message.body.escape_ascii();
+        writeln!(trace, "{:?} {body} until close", message.head.start_line).unwrap();
     }
-    made
+    trace
 }
 
-/// However the bytes are cut, the same comes of them.
-fn read_in_pieces(
-    framing: fn(&pondlb_http::Head) -> Result<BodyFraming, MessageError>,
-    bytes: &str,
-) -> String {
-    let whole = read(MessageReader::new(framing), bytes.as_bytes(), bytes.len().max(1));
-    for piece in [1, 2, 3, 5, 13, 97] {
-        assert_eq!(read(MessageReader::new(framing), bytes.as_bytes(), piece), whole, "in pieces of {piece}");
+/// Parses `bytes` in one segment, and checks that segments of other sizes give the same result.
+fn parse_in_all_segment_sizes(framing: FramingFn, bytes: &str) -> String {
+    let bytes = bytes.as_bytes();
+    let unsegmented = parse_in_segments(MessageReader::new(framing), bytes, bytes.len().max(1));
+    for segment_bytes in [1, 2, 3, 5, 13, 97] {
+        let segmented = parse_in_segments(MessageReader::new(framing), bytes, segment_bytes);
+        assert_eq!(segmented, unsegmented, "in segments of {segment_bytes} bytes");
     }
-    whole
+    unsegmented
 }
 
 #[test]
-fn requests_are_read_alike_however_they_are_cut() {
+fn parsed_requests_do_not_depend_on_segmentation() {
     let bytes = "GET /a HTTP/1.1\r\nHost: b\r\n\r\n\
         POST /b HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello\
         \r\n\r\nPOST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: v\r\n\r\n\
@@ -66,11 +67,11 @@
         "POST /c HTTP/1.1" "hello"
         a chunked body in HTTP/1.0
     "#]]
-    .assert_eq(&read_in_pieces(request_framing, bytes));
+    .assert_eq(&parse_in_all_segment_sizes(request_framing, bytes));
 }
 
 #[test]
-fn answers_end_by_length_by_chunks_or_with_the_connection() {
+fn responses_end_by_length_chunked_coding_or_connection_close() {
     let bytes = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n\
         HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi\
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n\
@@ -80,16 +81,16 @@
         "HTTP/1.1 204 None" ""
         "HTTP/1.1 200 OK" "hi"
         "HTTP/1.1 200 OK" "hi"
-        "HTTP/1.0 200 OK" hello until the end
+        "HTTP/1.0 200 OK" hello until close
     "#]]
-    .assert_eq(&read_in_pieces(response_framing, bytes));
+    .assert_eq(&parse_in_all_segment_sizes(response_framing, bytes));
 }
 
 #[test]
-fn what_is_no_message_is_refused() {
-    let long = "x".repeat(MAX_HEAD_BYTES);
+fn malformed_or_oversized_requests_are_rejected() {
+    let too_long_line = "x".repeat(MAX_HEAD_BYTES);
     let too_long_body = format!("Content-Length: {}\r\n", DEFAULT_MAX_BODY_BYTES + 1);
-    let mut made = String::new();
+    let mut errors = String::new();
     for (fields, body) in [
         ("no colon\r\n", ""),
         ("Space : a\r\n", ""),
@@ -102,11 +103,12 @@
         ("Transfer-Encoding: chunked\r\n", "3\r\nhello\r\n"),
         ("Transfer-Encoding: chunked\r\n", "3\nhel\r\n"),
         ("Transfer-Encoding: chunked\r\n", "10001\r\n"),
-        ("Transfer-Encoding: chunked\r\n", &long),
+        ("Transfer-Encoding: chunked\r\n", &too_long_line),
         (&too_long_body, ""),
-        (&long, ""),
+        (&too_long_line, ""),
     ] {
-        made += &read_in_pieces(request_framing, &format!("POST / HTTP/1.1\r\n{fields}\r\n{body}"));
+        let request = format!("POST / HTTP/1.1\r\n{fields}\r\n{body}");
+        errors += &parse_in_all_segment_sizes(request_framing, &request);
     }
     expect![[r#"
         a field has no colon
@@ -124,75 +126,79 @@
         the body is too long
         the head is too long
     "#]]
-    .assert_eq(&made);
+    .assert_eq(&errors);
 }
 
+/// A connection that breaks in the middle of a body must not make the part received so far look like a whole response.
 #[test]
-fn a_message_that_is_cut_short_never_passes_for_whole() {
-    for answer in [
+fn truncated_responses_are_never_returned() {
+    for response in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
     ] {
-        for end in 0..answer.len() {
-            let made = read(MessageReader::new(response_framing), &answer.as_bytes()[..end], 7);
-            assert_eq!(made, "", "{:?}", &answer[..end]);
+        for end in 0..response.len() {
+            let truncated = &response.as_bytes()[..end];
+            let trace = parse_in_segments(MessageReader::new(response_framing), truncated, 7);
+            assert_eq!(trace, "", "{:?}", &response[..end]);
         }
     }
 }
 
+/// Random bytes and randomly corrupted messages are parsed or rejected; they neither panic nor fill the buffer with an
+/// incomplete message.
 #[test]
-fn garbage_is_read_or_refused_in_bounded_memory() {
+fn corrupted_input_is_parsed_or_rejected_within_the_buffer() {
     let mut rng = WyRand::new_seed(7);
-    let good = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n\
+    let valid = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n\
         POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello";
     for round in 0..4000 {
-        let mut bytes: Vec<u8> = good.into();
+        let mut bytes: Vec<u8> = valid.into();
         if round % 10 == 0 {
             bytes = (0..200).map(|_| rng.generate()).collect();
         }
         for _ in 0..rng.generate_range(1..4_usize) {
-            let at = rng.generate_range(0..bytes.len());
+            let position = rng.generate_range(0..bytes.len());
             match rng.generate_range(0..3_u8) {
-                0 => bytes[at] = rng.generate(),
-                1 => drop(bytes.drain(at..(at + 9).min(bytes.len()))),
-                _ => bytes.extend_from_within(at..),
+                0 => bytes[position] = rng.generate(),
+                1 => drop(bytes.drain(position..(position + 9).min(bytes.len()))),
+                _ => bytes.extend_from_within(position..),
             }
         }
-        let piece = rng.generate_range(1..50);
-        read(MessageReader::new(request_framing), &bytes, piece);
-        read(MessageReader::new(response_framing), &bytes, piece);
+        let segment_bytes = rng.generate_range(1..50);
+        parse_in_segments(MessageReader::new(request_framing), &bytes, segment_bytes);
+        parse_in_segments(MessageReader::new(response_framing), &bytes, segment_bytes);
     }
 }
 
 #[test]
-fn a_buffer_moves_what_is_left_to_its_front_and_gives_memory_back() {
+fn buffer_compacts_before_it_grows_and_frees_memory_when_empty() {
     let mut buffer = Buffer::new(MAX_READER_BYTES);
     let mut trace = String::new();
-    let mut note = |what: &str, buffer: &mut Buffer| {
+    let mut record = |step: &str, buffer: &mut Buffer| {
         writeln!(
             trace,
-            "{what}: {} held, room for {}",
+            "{step}: {} filled, {} spare",
             buffer.filled().len(),
             buffer.spare_capacity_mut().len()
         )
         .unwrap();
     };
-    note("new", &mut buffer);
+    record("new", &mut buffer);
     buffer.mark_filled(2048);
-    note("full", &mut buffer);
+    record("full", &mut buffer);
     buffer.consume(2000);
     buffer.mark_filled(2048);
-    note("taken and full again", &mut buffer);
+    record("consumed and full again", &mut buffer);
     buffer.consume(2090);
-    note("nearly empty", &mut buffer);
+    record("nearly empty", &mut buffer);
     buffer.consume(6);
-    note("empty", &mut buffer);
+    record("empty", &mut buffer);
     expect![[r#"
-        new: 0 held, room for 2048
-        full: 2048 held, room for 2048
-        taken and full again: 2096 held, room for 2000
-        nearly empty: 6 held, room for 2000
-        empty: 0 held, room for 2048
+        new: 0 filled, 2048 spare
+        full: 2048 filled, 2048 spare
+        consumed and full again: 2096 filled, 2000 spare
+        nearly empty: 6 filled, 2000 spare
+        empty: 0 filled, 2048 spare
     "#]]
     .assert_eq(&trace);
 }
