--- a/benches/list_change.rs
+++ b/benches/list_change.rs
@@ -4,12 +4,12 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use pondlb::{
-    Action, Arrival, Balancer, Class, ColdTerms, Effect, Entry, Event, Listing, Lists, Load, Outcome, Stage,
-    Tenths, Terms,
+    Action, Arrival, Balancer, BalancerConfig, Class, ColdStart, Effect, Event, ListSource, ListUpdate, Load,
+    Outcome, Stage, TenthMillis, UpstreamEntry,
 };
 
-const MS: Tenths = 10;
-const SECOND: Tenths = 1000 * MS;
+const MS: TenthMillis = 10;
+const SECOND: TenthMillis = 1000 * MS;
 const LENGTHS: [usize; 4] = [200, 2_000, 8_000, 24_000];
 const ZONES: usize = 10;
 /// The zone that drains at once, and the most upstreams that one change names.
@@ -17,40 +17,45 @@
 const SLICE: usize = 64;
 /// Requests a second, and how long they came before the first change.
 const RATE: u64 = 50;
-const WARMED: Tenths = 20 * SECOND;
-const ANSWERED_IN: Tenths = 20 * MS;
+const WARMED: TenthMillis = 20 * SECOND;
+const ANSWERED_IN: TenthMillis = 20 * MS;
 const OPEN: usize = 8;
 
-fn terms() -> Terms {
-    Terms {
-        balancers: 100,
-        own_number: 7,
+fn terms() -> BalancerConfig {
+    BalancerConfig {
+        balancer_count: 100,
+        own_index: 7,
         own_zone: 0,
-        lists: Lists::Asked { within: 10 * SECOND },
-        classes: vec![Class { sla: 400 * MS, value: 1.0, effect: Effect::Idempotent }],
+        list_source: ListSource::Polled { max_poll_interval: 10 * SECOND },
+        classes: vec![Class { sla_time: 400 * MS, value: 1.0, effect: Effect::Idempotent }],
         tenants: Vec::new(),
-        excess_value: 1.0,
+        over_quota_value: 1.0,
         warm_keys: false,
         max_attempts: 3,
         hedging: true,
         cancelling: true,
         probing: false,
-        cool_down: None,
+        max_retry_after: None,
         drain_grace: SECOND / 2,
-        cold: ColdTerms { share: 0.3, warm_within: 9 * SECOND, multiple: 4.0, window: 2 * SECOND },
+        cold_start: ColdStart {
+            initial_capacity_share: 0.3,
+            warm_up_time: 9 * SECOND,
+            collapse_load_factor: 4.0,
+            collapse_window: 2 * SECOND,
+        },
     }
 }
 
-fn entry(number: usize, stage: Stage) -> Entry {
+fn entry(number: usize, stage: Stage) -> UpstreamEntry {
     let zone = (number % ZONES) as u32;
     let upstream = format!("10.{}.{}.{}:8080", number % 7, number / 250, number % 250).into();
-    Entry { upstream, cell: 0, started: None, size: 0.7, zone, kind: 0, stage }
+    UpstreamEntry { upstream, cell: 0, started_at: None, capacity: 0.7, zone, kind: 0, stage }
 }
 
 /// A balancer that has served for a while, with some requests open.
 struct Serving {
     balancer: Balancer,
-    now: Tenths,
+    now: TenthMillis,
     actions: Vec<Action>,
     requests: u64,
 }
@@ -60,7 +65,7 @@
         let (balancer, actions) = (Balancer::new(terms(), 7), Vec::new());
         let mut serving = Serving { balancer, now: 0, actions, requests: 0 };
         let entries = (0..length).map(|number| entry(number, Stage::Live)).collect();
-        serving.handle(Event::Listed(Listing::Whole(entries)));
+        serving.handle(Event::ListUpdate(ListUpdate::Snapshot(entries)));
         while serving.now < WARMED {
             serving.now += SECOND / RATE;
             let sent = serving.request();
@@ -77,10 +82,18 @@
     fn request(&mut self) -> Vec<Action> {
         self.requests += 1;
         let (request, left, cost) = (format!("r{}", self.requests).into(), SECOND, Some(20 * MS));
-        let arrival =
-            Arrival { request, class: 0, tenant: 0, key: None, left, cost, repeat: false, write: false };
+        let arrival = Arrival {
+            request,
+            class: 0,
+            tenant: 0,
+            affinity_key: None,
+            time_left: left,
+            cost,
+            is_retry: false,
+            is_write: false,
+        };
         self.actions.clear();
-        self.balancer.handle(self.now, [Event::Arrived(arrival)], &mut self.actions);
+        self.balancer.handle(self.now, [Event::RequestArrived(arrival)], &mut self.actions);
         std::mem::take(&mut self.actions)
     }
 
@@ -94,11 +107,19 @@
 fn answer(action: Action) -> Option<Event> {
     let Action::Attempt { request, upstream, .. } = action else { return None };
     let (outcome, load) = (Outcome::Ok, Load::default());
-    Some(Event::Ended { request, attempt: 0, upstream, outcome, took: ANSWERED_IN, answered: true, load })
+    Some(Event::AttemptEnded {
+        request,
+        attempt: 0,
+        upstream,
+        outcome,
+        duration: ANSWERED_IN,
+        answered: true,
+        load,
+    })
 }
 
 fn changes(numbers: impl Iterator<Item = usize>, stage: Stage) -> Event {
-    Event::Listed(Listing::Changes(numbers.map(|number| entry(number, stage)).collect()))
+    Event::ListUpdate(ListUpdate::Changes(numbers.map(|number| entry(number, stage)).collect()))
 }
 
 /// One upstream drains and comes back: two changes an iteration.
--- a/crates/pondlb-adapter/src/main.rs
+++ b/crates/pondlb-adapter/src/main.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use pondlb::{Action, Balancer, Entry, Event, Listing, Tenths};
+use pondlb::{Action, Balancer, Event, ListUpdate, TenthMillis, UpstreamEntry};
 use wire::{Fault, Form, Line, Reading};
 
 fn main() -> ExitCode {
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Instance>,
-    pages: [Option<Rc<[Entry]>>; wire::PAGES],
+    pages: [Option<Rc<[UpstreamEntry]>>; wire::PAGES],
     touched: Vec<u64>,
     actions: Vec<Action>,
 }
@@ -96,7 +96,7 @@
         let reading = |who| instances.get(&who).map(|i| i.reading);
         match wire::line(line, reading)? {
             Line::Ledger { page, members } => {
-                let entries: Result<Rc<[Entry]>, Fault> =
+                let entries: Result<Rc<[UpstreamEntry]>, Fault> =
                     (0..members).map(|_| wire::member(lines.inside("a list")?)).collect();
                 host.pages[page] = Some(entries?);
             }
@@ -112,7 +112,7 @@
             }
             Line::View { who, form, page } => {
                 let listing = host.listing(form, page)?;
-                host.touch(who)?.waiting.push(Event::Listed(listing));
+                host.touch(who)?.waiting.push(Event::ListUpdate(listing));
             }
             Line::Event { who, event } => host.touch(who)?.waiting.push(event),
             Line::Unneeded => {}
@@ -135,20 +135,20 @@
         Ok(instance)
     }
 
-    fn listing(&self, form: Form, page: Option<usize>) -> Result<Listing, Fault> {
+    fn listing(&self, form: Form, page: Option<usize>) -> Result<ListUpdate, Fault> {
         let entries = || {
             let page = page.ok_or("VIEW lacks Page")?;
             self.pages[page].clone().ok_or_else(|| format!("no LEDGER with Page={page} has come"))
         };
         Ok(match form {
-            Form::Changes => Listing::Changes(entries()?),
-            Form::Whole => Listing::Whole(entries()?),
-            Form::Remembered => Listing::Remembered(entries()?),
-            Form::Lost => Listing::Lost,
+            Form::Changes => ListUpdate::Changes(entries()?),
+            Form::Whole => ListUpdate::Snapshot(entries()?),
+            Form::Remembered => ListUpdate::Restored(entries()?),
+            Form::Lost => ListUpdate::Refused,
         })
     }
 
-    fn answer(&mut self, now: Tenths, output: &mut impl Write) -> io::Result<()> {
+    fn answer(&mut self, now: TenthMillis, output: &mut impl Write) -> io::Result<()> {
         for who in self.touched.drain(..) {
             // Killed after it was sent something, or killed and started again and so listed twice.
             let Some(instance) = self.instances.get_mut(&who).filter(|i| i.touched) else {
--- a/crates/pondlb-adapter/src/wire.rs
+++ b/crates/pondlb-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::str::FromStr;
 
 use base64::{Engine, prelude::BASE64_STANDARD};
-use pondlb::{Action, Arrival, Entry, Event, Load, Outcome, Stage, Tenths, Terms};
-use pondlb::{ceil_from_ns, floor_from_ns, to_ns};
+use pondlb::{Action, Arrival, BalancerConfig, Event, Load, Outcome, Stage, TenthMillis, UpstreamEntry};
+use pondlb::{ns_to_tenth_millis_ceil, ns_to_tenth_millis_floor, tenth_millis_to_ns};
 
 /// What is wrong with a line, in plain words.
 pub type Fault = String;
@@ -33,7 +33,7 @@
 
 pub enum Line {
     Ledger { page: usize, members: usize },
-    Start { who: u64, seed: u64, terms: Box<Terms>, reading: Reading },
+    Start { who: u64, seed: u64, terms: Box<BalancerConfig>, reading: Reading },
     Kill { who: u64 },
     View { who: u64, form: Form, page: Option<usize> },
     Event { who: u64, event: Event },
@@ -120,8 +120,8 @@
         })
     }
 
-    fn took(&self) -> Result<Tenths, Fault> {
-        self.number("DurationNs").map(ceil_from_ns)
+    fn took(&self) -> Result<TenthMillis, Fault> {
+        self.number("DurationNs").map(ns_to_tenth_millis_ceil)
     }
 
     fn load(&self, reading: Reading) -> Result<Load, Fault> {
@@ -138,7 +138,7 @@
             (value(reading.held)?, value(reading.waiting)?, value(reading.service)?);
         // With more or fewer values than were announced, none is known for what it is.
         let whole = row.split(',').count() == reading.values;
-        Ok(if whole { Load::told(held, waiting, service) } else { Load::default() })
+        Ok(if whole { Load::from_report(held, waiting, service) } else { Load::default() })
     }
 }
 
@@ -146,16 +146,16 @@
     line.split_once(' ').unwrap_or((line, ""))
 }
 
-pub fn tick(line: &str) -> Result<(Tenths, u64), Fault> {
+pub fn tick(line: &str) -> Result<(TenthMillis, u64), Fault> {
     let (kind, rest) = split_kind(line);
     if kind != "TICK" {
         return Err(format!("{kind:?} stands where TICK opens a batch"));
     }
     let fields = Fields::split(kind, rest)?;
-    Ok((floor_from_ns(fields.number("TimeNs")?), fields.number("serial")?))
+    Ok((ns_to_tenth_millis_floor(fields.number("TimeNs")?), fields.number("serial")?))
 }
 
-pub fn member(line: &str) -> Result<Entry, Fault> {
+pub fn member(line: &str) -> Result<UpstreamEntry, Fault> {
     let (kind, rest) = split_kind(line);
     if kind != "M" {
         return Err(format!("{kind:?} stands where an entry of the LEDGER is due"));
@@ -165,11 +165,11 @@
     if !(size.is_finite() && size >= 0.0) {
         return Err(fields.bad("Size", &size.to_string()));
     }
-    Ok(Entry {
+    Ok(UpstreamEntry {
         upstream: fields.word("Upstream")?.into(),
         cell: fields.number("Pod")?,
-        started: fields.optional("LastStartNs")?.filter(|at| *at > 0).map(ceil_from_ns),
-        size,
+        started_at: fields.optional("LastStartNs")?.filter(|at| *at > 0).map(ns_to_tenth_millis_ceil),
+        capacity: size,
         zone: fields.number("Area")?,
         kind: fields.number("Hw")?,
         stage: match fields.word("StageState")? {
@@ -229,40 +229,40 @@
             let page = fields.get("Page").map(|_| page(&fields)).transpose()?;
             return Ok(Line::View { who, form, page });
         }
-        "KNOCK" => Event::Arrived(Arrival {
+        "KNOCK" => Event::RequestArrived(Arrival {
             request: fields.word("OpId")?.into(),
             class: match fields.number("Priority")? {
                 class if class < reading.classes => class,
                 class => return Err(fields.bad("Priority", &class.to_string())),
             },
             tenant: fields.optional("Account")?.unwrap_or(0),
-            key: match fields.get("PathKey") {
+            affinity_key: match fields.get("PathKey") {
                 None => None,
                 Some(hex) => Some(u64::from_str_radix(hex, 16).map_err(|_| fields.bad("PathKey", hex))?),
             },
-            left: floor_from_ns(fields.number("GraceNs")?),
-            cost: fields.optional("WorkNs")?.map(ceil_from_ns),
-            repeat: fields.flag("Resent")?,
-            write: fields.flag("Write")?,
+            time_left: ns_to_tenth_millis_floor(fields.number("GraceNs")?),
+            cost: fields.optional("WorkNs")?.map(ns_to_tenth_millis_ceil),
+            is_retry: fields.flag("Resent")?,
+            is_write: fields.flag("Write")?,
         }),
-        "REPLY" => Event::Ended {
+        "REPLY" => Event::AttemptEnded {
             request: fields.word("OpId")?.into(),
             attempt: fields.number("Go")?,
             upstream: fields.word("Upstream")?.into(),
             outcome: fields.outcome()?,
-            took: fields.took()?,
+            duration: fields.took()?,
             answered: fields.flag("Settled")?,
             load: fields.load(reading)?,
         },
-        "ELAPSED" => Event::Woke { token: fields.word("Token")?.into() },
-        "ABORTED" => Event::Left { request: fields.word("OpId")?.into() },
-        "HEALTH" => Event::Probed {
+        "ELAPSED" => Event::TimerFired { token: fields.word("Token")?.into() },
+        "ABORTED" => Event::ClientDisconnected { request: fields.word("OpId")?.into() },
+        "HEALTH" => Event::ProbeEnded {
             upstream: fields.word("Upstream")?.into(),
             outcome: fields.outcome()?,
-            took: fields.took()?,
+            duration: fields.took()?,
             load: fields.load(reading)?,
         },
-        _ => Event::Heard { peer: fields.number("OriginPeer")?, note: bytes(&fields)? },
+        _ => Event::PeerMessage { peer: fields.number("OriginPeer")?, message: bytes(&fields)? },
     };
     Ok(Line::Event { who, event })
 }
@@ -286,7 +286,7 @@
             optional(out, "TimeoutNs", *timeout)
         }
         Action::Probe { upstream } => writeln!(out, "TOUCH Who={who} Upstream={upstream}"),
-        Action::Tell { peer, note } => {
+        Action::SendToPeer { peer, message: note } => {
             write!(out, "SAY Who={who} Addressee=")?;
             match peer {
                 Some(peer) => write!(out, "{peer}")?,
@@ -295,27 +295,31 @@
             let blob = if note.is_empty() { "-".into() } else { BASE64_STANDARD.encode(note) };
             writeln!(out, " Blob={blob}")
         }
-        Action::Watch { on } => writeln!(out, "KEEP_INFORMED Who={who} Enable={}", u8::from(*on)),
-        Action::Refetch => writeln!(out, "REFRESH Who={who}"),
+        Action::WatchList { enabled: on } => {
+            writeln!(out, "KEEP_INFORMED Who={who} Enable={}", u8::from(*on))
+        }
+        Action::FetchList => writeln!(out, "REFRESH Who={who}"),
         Action::Cancel { request, attempt } => {
             writeln!(out, "CALL_OFF Who={who} OpId={request} Go={attempt}")
         }
         Action::Fail { request, .. } => writeln!(out, "RESPOND_ERROR Who={who} OpId={request}"),
-        Action::Reject { request, cool_down, .. } => {
+        Action::Reject { request, retry_after: cool_down, .. } => {
             write!(out, "REJECT Who={who} OpId={request}")?;
             optional(out, "CoolDownNs", *cool_down)
         }
-        Action::CloseIdle { upstream } => writeln!(out, "DROP_CONNS Who={who} Upstream={upstream}"),
+        Action::CloseIdleConnections { upstream } => {
+            writeln!(out, "DROP_CONNS Who={who} Upstream={upstream}")
+        }
         Action::Log { text } => writeln!(out, "DEBUG Who={who} Text={}", one_line(text)),
-        Action::Wake { token, after } => {
-            writeln!(out, "TIMER Who={who} Token={token} SleepForNs={}", to_ns(*after))
+        Action::SetTimer { token, after } => {
+            writeln!(out, "TIMER Who={who} Token={token} SleepForNs={}", tenth_millis_to_ns(*after))
         }
     }
 }
 
-fn optional(out: &mut impl Write, name: &str, span: Option<Tenths>) -> io::Result<()> {
+fn optional(out: &mut impl Write, name: &str, span: Option<TenthMillis>) -> io::Result<()> {
     match span {
-        Some(span) => writeln!(out, " {name}={}", to_ns(span)),
+        Some(span) => writeln!(out, " {name}={}", tenth_millis_to_ns(span)),
         None => writeln!(out),
     }
 }
--- a/crates/pondlb-server/src/program/configuration.rs
+++ b/crates/pondlb-server/src/program/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pondlb::Tenths;
+use pondlb::TenthMillis;
 use pondlb_terms::{Applied, Fault, Links, SettingChange, Settings};
 
 use super::service::connect_within;
@@ -20,7 +20,7 @@
     /// Puts changes by records in force: all of them or none. Requests that are open end under what they came with.
     pub fn change<C: Carrier>(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         changes: &[SettingChange],
         exchange: &mut Exchange<C>,
     ) -> Result<(), Fault> {
@@ -32,7 +32,7 @@
     /// The same for a file that was read anew, with a warning for each key that can't change in place.
     pub fn change_to<C: Carrier>(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         file: &Settings,
         exchange: &mut Exchange<C>,
     ) -> Result<(), Fault> {
@@ -49,13 +49,13 @@
         self.settings.links()
     }
 
-    fn put_in_force<C: Carrier>(&self, now: Tenths, applied: Applied, exchange: &mut Exchange<C>) {
+    fn put_in_force<C: Carrier>(&self, now: TenthMillis, applied: Applied, exchange: &mut Exchange<C>) {
         if applied.changed == 0 {
             return;
         }
         exchange.change(now, &applied.terms);
         self.front.change_classes(applied.classes);
-        self.front.cool_down.set(cool_down(self.settings.limits().cool_down));
+        self.front.cool_down.set(cool_down(self.settings.limits().max_retry_after));
         let links = self.links();
         self.front.connections.set_most_busy(links.most_open as usize);
         self.pool.set_limits(span(links.idle / 2), span(connect_within(&links)));
@@ -64,6 +64,6 @@
 }
 
 /// The advice for a client that is turned away before it is read.
-pub fn cool_down(longest: Option<Tenths>) -> Option<Tenths> {
+pub fn cool_down(longest: Option<TenthMillis>) -> Option<TenthMillis> {
     longest.map(|longest| longest / 2)
 }
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb::{Balancer, Lists, Tenths};
+use pondlb::{Balancer, ListSource, TenthMillis};
 use pondlb_control::Change;
 use pondlb_control_net::Status;
 use pondlb_terms::{Fault, Links, SettingChange};
@@ -34,13 +34,13 @@
     leaving: Duration,
     /// A request may have more time left than the program has: its answer comes by then, or the kill would lose
     /// it.
-    answered: Tenths,
+    answered: TenthMillis,
     /// However slow a client is with its request, the program is gone before it is killed.
     at_most: Duration,
 }
 
 impl ShutdownTimeline {
-    pub(super) fn new(deadline: Option<Tenths>) -> Self {
+    pub(super) fn new(deadline: Option<TenthMillis>) -> Self {
         let deadline = deadline.map(|deadline| deadline.min(LONGEST_DEADLINE));
         let killed = deadline.unwrap_or(LONGEST_DEADLINE) + KILL_AFTER;
         let answered = killed - UNANSWERED;
@@ -51,20 +51,20 @@
     }
 }
 
-const LONGEST_DEADLINE: Tenths = 30_000;
-const KILL_AFTER: Tenths = 7000;
+const LONGEST_DEADLINE: TenthMillis = 30_000;
+const KILL_AFTER: TenthMillis = 7000;
 /// So much before the kill.
-const UNANSWERED: Tenths = 4000;
-const MARGIN: Tenths = 2000;
-const LAST_CHANCE: Tenths = 4000;
+const UNANSWERED: TenthMillis = 4000;
+const MARGIN: TenthMillis = 2000;
+const LAST_CHANCE: TenthMillis = 4000;
 /// Clients that are new to it come for up to 0.4 s.
-const LEAVING: Tenths = 6000;
+const LEAVING: TenthMillis = 6000;
 /// So much longer than the settings say is each limit where it is kept on sockets.
-const ON_SOCKETS: Tenths = 500;
+const ON_SOCKETS: TenthMillis = 500;
 /// A list that was made for a start may be as old as the time in which a dead process is replaced.
-const RESTART_TIME: Tenths = 15_000;
+const RESTART_TIME: TenthMillis = 15_000;
 /// For a late loop and the way to the client.
-const SLACK: Tenths = 50;
+const SLACK: TenthMillis = 50;
 const BATCH: usize = 256;
 /// So long at most a new process is not ready since discovery has not confirmed its list.
 const UNCONFIRMED_START: Duration = Duration::from_secs(5);
@@ -108,11 +108,11 @@
             .map_err(|e| io::Error::new(e.kind(), format!("listen: {}: {e}", setup.listen)))?;
         let address = listener.local_addr()?;
         let (mut terms, links) = (setup.deployment.terms, setup.deployment.links);
-        let own_number = terms.own_number;
+        let own_number = terms.own_index;
         // Control servers bring the list unasked; discovery does so on the simulator's wire only.
-        terms.lists = match terms.lists {
-            _ if setup.control.is_some() => Lists::Unasked,
-            Lists::Unasked => Lists::Agent,
+        terms.list_source = match terms.list_source {
+            _ if setup.control.is_some() => ListSource::Pushed,
+            ListSource::Pushed => ListSource::LocalAgent,
             asked => asked,
         };
         let clock = Clock::start();
@@ -127,7 +127,7 @@
         let front = Rc::new(Front {
             connections: connections.clone(),
             classes: RefCell::new(numbered(&setup.deployment.names.classes)),
-            cool_down: Cell::new(cool_down(terms.cool_down)),
+            cool_down: Cell::new(cool_down(terms.max_retry_after)),
             notes: notes_in.clone(),
             phase: phase_seen,
         });
@@ -356,7 +356,7 @@
 
 /// An attempt that is still connecting when its upstream is told to drain must leave within the grace. With none
 /// at all, what the limit is longer on sockets is left.
-pub(super) fn connect_within(links: &Links) -> Tenths {
+pub(super) fn connect_within(links: &Links) -> TenthMillis {
     links.connect_within.min((links.drain_grace + ON_SOCKETS) / 2)
 }
 
@@ -373,7 +373,7 @@
 
 /// Up to when the list that a process starts with is known to be right. One of version 0 was made for this start. Any other
 /// is as the process before this one had it, which may have had no word from discovery for long.
-fn known_at(known: &UpstreamList, now: Tenths) -> Tenths {
+fn known_at(known: &UpstreamList, now: TenthMillis) -> TenthMillis {
     if known.version == 0 { now - RESTART_TIME } else { 0 }
 }
 
--- a/crates/pondlb-server/src/protocol/answer.rs
+++ b/crates/pondlb-server/src/protocol/answer.rs
@@ -1,6 +1,6 @@
 //! What became of a request, in no protocol's words.
 
-use pondlb::Tenths;
+use pondlb::TenthMillis;
 
 use pondlb_http::Message;
 
@@ -9,7 +9,7 @@
 pub enum Answer {
     Served(Message),
     Rejected {
-        cool_down: Option<Tenths>,
+        cool_down: Option<TenthMillis>,
     },
     Failed,
     /// Upstreams turn it away for what the client sent.
--- a/crates/pondlb-server/src/protocol/client.rs
+++ b/crates/pondlb-server/src/protocol/client.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use pondlb::{Arrival, Tenths, ceil_from_ns, floor_from_ns};
+use pondlb::{Arrival, TenthMillis, ns_to_tenth_millis_ceil, ns_to_tenth_millis_floor};
 use pondlb_http::{Fault, Message, Reader, request_framing};
 
 use super::answer::Answer;
@@ -112,11 +112,11 @@
         request: id.into(),
         class,
         tenant: 0,
-        key: None,
-        left: floor_from_ns(left),
-        cost: cost.map(ceil_from_ns),
-        repeat: head.one("Req-Retry")? == Some("1"),
-        write: method != "GET",
+        affinity_key: None,
+        time_left: ns_to_tenth_millis_floor(left),
+        cost: cost.map(ns_to_tenth_millis_ceil),
+        is_retry: head.one("Req-Retry")? == Some("1"),
+        is_write: method != "GET",
     };
     Ok(Asked { wish: Wish::Request { arrival, message }, last })
 }
@@ -200,6 +200,6 @@
     out.extend_from_slice(body);
 }
 
-fn seconds(span: Tenths) -> String {
+fn seconds(span: TenthMillis) -> String {
     format!("{}.{:04}", span / 10_000, span % 10_000)
 }
--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -44,10 +44,10 @@
                 "{} scheme {} left {} cost {:?} repeat {} write {}: {:?} {}{last}",
                 a.request,
                 a.class,
-                a.left,
+                a.time_left,
                 a.cost,
-                a.repeat,
-                a.write,
+                a.is_retry,
+                a.is_write,
                 r.head.first,
                 shown(&r.body)
             ),
@@ -64,7 +64,7 @@
         let answered = self.next(closed).map_err(|fault| fault.to_string())?;
         Ok(answered.map(|a| {
             let keep = if a.keep { "keep" } else { "close" };
-            let load = match (a.load.held, a.load.service) {
+            let load = match (a.load.in_flight, a.load.service_time) {
                 (None, None) => String::new(),
                 load => format!(" {load:?}"),
             };
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pondlb::{Load, Outcome, Tenths};
+use pondlb::{Load, Outcome, TenthMillis};
 use pondlb_http::{Fault, Head, Message, Reader, answer_framing};
 
 use super::MOST_ANSWER;
@@ -12,7 +12,7 @@
 const REWRITTEN: [&str; 4] = ["Content-Length", "Req-Id", "Req-Deadline", "Expect"];
 
 /// The id goes with it whatever the client's `Connection` says: without it nobody could tell a repeat.
-pub fn write_attempt(id: &str, message: &Message, wait: Tenths) -> Vec<u8> {
+pub fn write_attempt(id: &str, message: &Message, wait: TenthMillis) -> Vec<u8> {
     let mut out = Vec::with_capacity(512 + message.body.len());
     out.extend_from_slice(message.head.first.rsplit_once(' ').map_or("", |(line, _)| line).as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
@@ -112,5 +112,5 @@
         let text = report.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))?;
         text.parse::<f64>().ok()
     };
-    Load::told(value("rif"), value("q"), value("lat_ms"))
+    Load::from_report(value("rif"), value("q"), value("lat_ms"))
 }
--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pondlb::{Entry, Stage, Tenths, UpstreamId};
+use pondlb::{Stage, TenthMillis, UpstreamEntry, UpstreamId};
 use pondlb_terms::Names;
 
 use crate::protocol::discovery::UpstreamList;
@@ -107,7 +107,7 @@
         [self.places.len(), self.zones.others.len(), self.kinds.others.len()]
     }
 
-    pub fn read(&mut self, list: UpstreamList) -> Rc<[Entry]> {
+    pub fn read(&mut self, list: UpstreamList) -> Rc<[UpstreamEntry]> {
         log::debug!("list {} whole {} names {}", list.version, list.whole, list.targets.len());
         if list.whole {
             let named: BTreeSet<&str> = list.targets.iter().map(|t| &*t.upstream).collect();
@@ -130,11 +130,11 @@
             let (zone, kind) = (self.zones.of(&target.zone), self.kinds.of(&target.kind));
             let place = Place { address: target.address, zone, kind };
             self.place(upstream.clone(), Some(place).filter(|_| target.stage != Stage::Gone));
-            entries.push(Entry {
+            entries.push(UpstreamEntry {
                 upstream,
                 cell: target.cell,
-                started: started(target.started, self.unix_start),
-                size: target.size,
+                started_at: started(target.started, self.unix_start),
+                capacity: target.size,
                 zone,
                 kind,
                 stage: target.stage,
@@ -163,17 +163,17 @@
     }
 
     /// The entry of an upstream that is gone; none where it is not known.
-    fn remove(&mut self, upstream: String) -> Option<Entry> {
+    fn remove(&mut self, upstream: String) -> Option<UpstreamEntry> {
         log::debug!("{upstream} is removed");
         let upstream: UpstreamId = upstream.into();
         let Place { zone, kind, .. } = *self.places.get(&upstream)?;
         self.place(upstream.clone(), None);
         let (cell, started, size, stage) = (0, None, 0.0, Stage::Gone);
-        Some(Entry { upstream, cell, started, size, zone, kind, stage })
+        Some(UpstreamEntry { upstream, cell, started_at: started, capacity: size, zone, kind, stage })
     }
 }
 
-fn started(unix_ms: u64, unix_start: i64) -> Option<Tenths> {
+fn started(unix_ms: u64, unix_start: i64) -> Option<TenthMillis> {
     let tenths = i64::try_from(unix_ms).ok()?.checked_mul(10)?.checked_add(unix_start)?;
-    if unix_ms == 0 { None } else { Tenths::try_from(tenths).ok() }
+    if unix_ms == 0 { None } else { TenthMillis::try_from(tenths).ok() }
 }
--- a/crates/pondlb-server/src/routing/exchange.rs
+++ b/crates/pondlb-server/src/routing/exchange.rs
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 
 use pondlb::{
-    Action, Balancer, Event, Listing, Load, Outcome, RequestId, Stage, Tenths, TermsChange, UpstreamId,
+    Action, Balancer, ConfigChange, Event, ListUpdate, Load, Outcome, RequestId, Stage, TenthMillis,
+    UpstreamId,
 };
 use pondlb_http::Message;
 use tokio::sync::oneshot;
@@ -40,14 +41,14 @@
     message: Rc<Message>,
     /// None once the final answer is given or the client has left.
     answer: Option<oneshot::Sender<Answer>>,
-    deadline: Tenths,
+    deadline: TenthMillis,
     /// How many attempts there have been.
     attempts: u32,
     out: u32,
 }
 
 struct Out<H> {
-    order: Tenths,
+    order: TenthMillis,
     upstream: UpstreamId,
     hold: H,
 }
@@ -57,16 +58,16 @@
 #[derive(Default)]
 struct Ids {
     taken: HashSet<RequestId>,
-    order: VecDeque<(Tenths, RequestId)>,
+    order: VecDeque<(TenthMillis, RequestId)>,
 }
 
-const TAKEN_FOR: Tenths = 50_000;
+const TAKEN_FOR: TenthMillis = 50_000;
 const MOST_TAKEN: usize = 8192;
 
 impl Ids {
     /// False when it is taken.
-    fn take(&mut self, now: Tenths, id: &RequestId) -> bool {
-        let old = |(at, _): &(Tenths, RequestId)| at + TAKEN_FOR <= now;
+    fn take(&mut self, now: TenthMillis, id: &RequestId) -> bool {
+        let old = |(at, _): &(TenthMillis, RequestId)| at + TAKEN_FOR <= now;
         while self.order.front().is_some_and(old) || self.order.len() >= MOST_TAKEN {
             if let Some((_, id)) = self.order.pop_front() {
                 self.taken.remove(&id);
@@ -92,18 +93,18 @@
     closed: Vec<RequestId>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    wake: Option<(Tenths, &'static str)>,
+    wake: Option<(TenthMillis, &'static str)>,
     /// When every request must have its answer, whatever its deadline: the program is killed soon after.
-    end: Option<Tenths>,
+    end: Option<TenthMillis>,
     /// How much before its deadline a request must have its answer, for a loop that runs late.
-    slack: Tenths,
+    slack: TenthMillis,
     /// The list of upstreams is not whole before control servers have told it.
     awaits_state: bool,
     metrics: Metrics,
 }
 
 impl<C: Carrier> Exchange<C> {
-    pub fn new(balancer: Balancer, directory: Directory, carrier: C, slack: Tenths) -> Self {
+    pub fn new(balancer: Balancer, directory: Directory, carrier: C, slack: TenthMillis) -> Self {
         Exchange {
             balancer,
             directory,
@@ -128,22 +129,22 @@
     }
 
     /// Puts checked changes of the terms in force; requests that are open end under what they came with.
-    pub fn change(&mut self, now: Tenths, changes: &[TermsChange]) {
-        self.balancer.change(changes);
+    pub fn change(&mut self, now: TenthMillis, changes: &[ConfigChange]) {
+        self.balancer.apply(changes);
         self.decide(now);
     }
 
     /// The list as it was before the start, and when it was right; none where nobody confirms lists.
-    pub fn remember(&mut self, now: Tenths, known: UpstreamList, current_at: Option<Tenths>) {
+    pub fn remember(&mut self, now: TenthMillis, known: UpstreamList, current_at: Option<TenthMillis>) {
         let entries = self.directory.read(known);
-        self.events.extend(current_at.map(|at| Event::ListCurrent { at }));
-        self.events.push(Event::Listed(Listing::Remembered(entries)));
+        self.events.extend(current_at.map(|at| Event::ListConfirmed { at }));
+        self.events.push(Event::ListUpdate(ListUpdate::Restored(entries)));
         self.decide(now);
     }
 
     /// Hands over all that happened until now, and carries out what is decided. At `wake_at` it wants to be
     /// called again, with nothing new.
-    pub fn step(&mut self, now: Tenths, notes: impl IntoIterator<Item = Note>) {
+    pub fn step(&mut self, now: TenthMillis, notes: impl IntoIterator<Item = Note>) {
         for note in notes {
             self.read(now, note);
         }
@@ -156,27 +157,27 @@
             late.into_iter().for_each(|attempt| self.ended(now, attempt, Outcome::TimedOut.into()));
         }
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
-            self.events.push(Event::Woke { token: token.into() });
+            self.events.push(Event::TimerFired { token: token.into() });
         }
         self.decide(now);
     }
 
     /// Of these attempts those that are not written yet: one that is still dialling would be written long after, also
     /// where work that has begun may not be cancelled.
-    fn take_back(&mut self, now: Tenths, which: impl Fn(&RequestId, &UpstreamId) -> bool) {
+    fn take_back(&mut self, now: TenthMillis, which: impl Fn(&RequestId, &UpstreamId) -> bool) {
         let chosen =
             self.outs.iter().filter(|((id, _), out)| !out.hold.is_written() && which(id, &out.upstream));
         let chosen: Vec<AttemptId> = chosen.map(|(attempt, _)| attempt.clone()).collect();
         chosen.into_iter().for_each(|attempt| self.ended(now, attempt, Outcome::Moot.into()));
     }
 
-    pub fn wake_at(&self) -> Option<Tenths> {
+    pub fn wake_at(&self) -> Option<TenthMillis> {
         let end = self.end.filter(|_| !self.outs.is_empty());
         self.wake.map(|(at, _)| at).into_iter().chain(end).min()
     }
 
     /// From then on nothing is sent, and what is out is given up, for the decisions to answer.
-    pub fn end_by(&mut self, at: Tenths) {
+    pub fn end_by(&mut self, at: TenthMillis) {
         self.end = Some(at);
         for request in self.requests.values_mut() {
             request.deadline = request.deadline.min(at);
@@ -189,14 +190,14 @@
     }
 
     /// Discovery is at another address from now on.
-    pub fn move_discovery(&mut self, now: Tenths) {
-        self.events.push(Event::DiscoveryMoved);
+    pub fn move_discovery(&mut self, now: TenthMillis) {
+        self.events.push(Event::DiscoveryAddressChanged);
         self.decide(now);
     }
 
     /// Whether nothing may be sent since the list has not been confirmed for too long.
     pub fn is_list_stale(&self) -> bool {
-        self.balancer.is_stale()
+        self.balancer.is_list_stale()
     }
 
     /// Counts since the start.
@@ -209,7 +210,7 @@
         self.requests.values().filter(|request| request.answer.is_some()).count()
     }
 
-    fn read(&mut self, now: Tenths, note: Note) {
+    fn read(&mut self, now: TenthMillis, note: Note) {
         match note {
             Note::Arrived { mut arrival, message, answer } => {
                 // Two requests of one id would get each other's answers, and a second one's effect is no repeat.
@@ -219,28 +220,28 @@
                 }
                 let hint = arrival.cost.unwrap_or_default();
                 log::debug!("{} comes: scheme {} cost {hint}", arrival.request, arrival.class);
-                arrival.left = arrival.left.saturating_sub(self.slack);
+                arrival.time_left = arrival.time_left.saturating_sub(self.slack);
                 if let Some(end) = self.end {
-                    arrival.left = arrival.left.min(end.saturating_sub(now));
+                    arrival.time_left = arrival.time_left.min(end.saturating_sub(now));
                 }
-                let (message, deadline) = (Rc::new(message), now + arrival.left);
+                let (message, deadline) = (Rc::new(message), now + arrival.time_left);
                 let request = Request { message, answer: Some(answer), deadline, attempts: 0, out: 0 };
                 self.requests.insert(arrival.request.clone(), request);
                 self.metrics.requests += 1;
-                self.events.push(Event::Arrived(arrival));
+                self.events.push(Event::RequestArrived(arrival));
             }
             Note::Left { request } => {
                 if self.close(&request).is_some() {
                     self.metrics.left += 1;
-                    self.events.push(Event::Left { request });
+                    self.events.push(Event::ClientDisconnected { request });
                 }
             }
             Note::Ended { attempt, end } => self.ended(now, attempt, end),
             Note::Probed { upstream, outcome, took, load } => {
                 log::debug!("{upstream} is asked: {outcome:?} after {took}{load}");
-                self.events.push(Event::Probed { upstream, outcome, took, load });
+                self.events.push(Event::ProbeEnded { upstream, outcome, duration: took, load });
             }
-            Note::ListCurrent { at } => self.events.push(Event::ListCurrent { at }),
+            Note::ListCurrent { at } => self.events.push(Event::ListConfirmed { at }),
             Note::Listed(list) => {
                 self.metrics.lists += 1;
                 self.listed(now, list);
@@ -254,20 +255,20 @@
             }
             Note::ListLost => {
                 self.metrics.calls_refused += 1;
-                self.events.push(Event::Listed(Listing::Lost));
+                self.events.push(Event::ListUpdate(ListUpdate::Refused));
             }
             Note::ListUnreached => {
                 self.metrics.calls_unreached += 1;
-                self.events.push(Event::Listed(Listing::Unreached));
+                self.events.push(Event::ListUpdate(ListUpdate::Unreachable));
             }
             Note::WatchSilent => {
                 self.metrics.calls_silent += 1;
-                self.events.push(Event::Listed(Listing::Silent));
+                self.events.push(Event::ListUpdate(ListUpdate::WatchTimedOut));
             }
         }
     }
 
-    fn listed(&mut self, now: Tenths, list: UpstreamList) {
+    fn listed(&mut self, now: TenthMillis, list: UpstreamList) {
         let whole = list.whole;
         let entries = self.directory.read(list);
         // Nothing is begun at who is announced as leaving, or is not named any more.
@@ -275,16 +276,16 @@
             let named = entries.iter().find(|entry| entry.upstream == *up);
             named.map_or(whole, |entry| entry.stage != Stage::Live)
         });
-        let listing = if whole { Listing::Whole } else { Listing::Changes };
-        self.events.push(Event::Listed(listing(entries)));
-        let (listed, known) = (self.directory.sizes(), self.balancer.sizes());
+        let listing = if whole { ListUpdate::Snapshot } else { ListUpdate::Changes };
+        self.events.push(Event::ListUpdate(listing(entries)));
+        let (listed, known) = (self.directory.sizes(), self.balancer.tracked_counts());
         log::debug!(
-            "listed upstreams, other zones, kinds: {listed:?}; upstreams, zones, kinds, txns: {known:?}"
+            "listed upstreams, other zones, kinds: {listed:?}; upstreams, zones, kinds, txns: {known}"
         );
     }
 
     /// An attempt given up may have ended at the same moment: only the first of the two ends counts.
-    fn ended(&mut self, now: Tenths, (id, attempt): AttemptId, end: End) {
+    fn ended(&mut self, now: TenthMillis, (id, attempt): AttemptId, end: End) {
         let Some(out) = self.outs.remove(&(id.clone(), attempt)) else { return };
         if let Some(request) = self.requests.get_mut(&id) {
             request.out -= 1;
@@ -297,18 +298,18 @@
         }
         let answered = self.requests.get(&id).is_none_or(|request| request.answer.is_none());
         self.forget(&id);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             request: id,
             attempt,
             upstream: out.upstream,
             outcome: end.outcome,
-            took: now - out.order,
+            duration: now - out.order,
             answered,
             load: end.load,
         });
     }
 
-    fn decide(&mut self, now: Tenths) {
+    fn decide(&mut self, now: TenthMillis) {
         loop {
             let mut actions = mem::take(&mut self.actions);
             self.balancer.handle(now, self.events.drain(..), &mut actions);
@@ -323,48 +324,48 @@
         }
     }
 
-    fn carry_out(&mut self, now: Tenths, action: Action) {
+    fn carry_out(&mut self, now: TenthMillis, action: Action) {
         match action {
-            Action::Attempt { request, upstream, timeout, begin_by } => {
+            Action::Attempt { request, upstream, timeout, send_by: begin_by } => {
                 self.attempt(now, request, upstream, timeout, begin_by);
             }
             Action::Cancel { request, attempt } => {
                 // Dropping what is kept of it closes its connection.
                 self.ended(now, (request, attempt), Outcome::Cancelled.into());
             }
-            Action::Reject { request, cool_down, why } => {
+            Action::Reject { request, retry_after: cool_down, reason: why } => {
                 log::debug!("{request} is rejected: {why:?}");
                 count(&mut self.metrics.rejected, why);
                 self.give(&request, Answer::Rejected { cool_down });
             }
-            Action::Fail { request, why } => {
+            Action::Fail { request, reason: why } => {
                 log::debug!("{request} fails: {why:?}");
                 count(&mut self.metrics.failed, why);
                 self.give(&request, Answer::Failed);
             }
-            Action::Watch { on } => self.carrier.watch(on),
-            Action::Refetch => self.carrier.fetch(),
-            Action::CloseIdle { upstream } => self.carrier.close_idle(&upstream),
-            Action::Wake { token, after } => self.wake = Some((now + after, token)),
+            Action::WatchList { enabled: on } => self.carrier.watch(on),
+            Action::FetchList => self.carrier.fetch(),
+            Action::CloseIdleConnections { upstream } => self.carrier.close_idle(&upstream),
+            Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
             Action::Log { text } => log::info!("{text}"),
             Action::Probe { upstream } => match self.directory.address(&upstream) {
                 Some(address) => self.carrier.probe(upstream, address),
                 None => {
                     let (outcome, load) = (Outcome::Moot, Load::default());
-                    self.events.push(Event::Probed { upstream, outcome, took: 0, load });
+                    self.events.push(Event::ProbeEnded { upstream, outcome, duration: 0, load });
                 }
             },
-            Action::Tell { .. } => log::warn!("talk with peers is not carried here: {action:?}"),
+            Action::SendToPeer { .. } => log::warn!("talk with peers is not carried here: {action:?}"),
         }
     }
 
     fn attempt(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         id: RequestId,
         upstream: UpstreamId,
-        timeout: Option<Tenths>,
-        begin_by: Option<Tenths>,
+        timeout: Option<TenthMillis>,
+        begin_by: Option<TenthMillis>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts;
@@ -387,7 +388,15 @@
             }
         };
         let (answered, took, load) = (request.answer.is_none(), 0, Load::default());
-        self.events.push(Event::Ended { request: id, attempt, upstream, outcome, took, answered, load });
+        self.events.push(Event::AttemptEnded {
+            request: id,
+            attempt,
+            upstream,
+            outcome,
+            duration: took,
+            answered,
+            load,
+        });
     }
 
     /// The first answer is final; a client that has left gets none. Whether it was this one.
--- a/crates/pondlb-server/src/routing/metrics.rs
+++ b/crates/pondlb-server/src/routing/metrics.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use pondlb::{GiveUp, Outcome};
+use pondlb::{GiveUpReason, Outcome};
 
 /// Counts since the start of the program.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -15,9 +15,9 @@
     /// Clients that left before their answer.
     pub left: u64,
     /// Requests given up with a promise of no effect, by reason.
-    pub rejected: BTreeMap<GiveUp, u64>,
+    pub rejected: BTreeMap<GiveUpReason, u64>,
     /// Requests given up that may have run, by reason.
-    pub failed: BTreeMap<GiveUp, u64>,
+    pub failed: BTreeMap<GiveUpReason, u64>,
     /// Attempts that began.
     pub attempts: u64,
     /// Ends of attempts, by outcome.
--- a/crates/pondlb-server/src/routing/notes.rs
+++ b/crates/pondlb-server/src/routing/notes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pondlb::{Arrival, Load, Outcome, RequestId, Tenths, UpstreamId};
+use pondlb::{Arrival, Load, Outcome, RequestId, TenthMillis, UpstreamId};
 use pondlb_http::Message;
 use tokio::sync::oneshot;
 
@@ -21,9 +21,9 @@
     pub address: SocketAddr,
     pub message: Rc<Message>,
     /// When the balancer stops waiting for it.
-    pub until: Tenths,
+    pub until: TenthMillis,
     /// Written later than this it would be met as new, though an earlier one may have run.
-    pub begin_by: Option<Tenths>,
+    pub begin_by: Option<TenthMillis>,
 }
 
 /// How an attempt ended.
@@ -58,7 +58,7 @@
     Probed {
         upstream: UpstreamId,
         outcome: Outcome,
-        took: Tenths,
+        took: TenthMillis,
         load: Load,
     },
     Listed(UpstreamList),
@@ -72,7 +72,7 @@
     },
     /// The list was right at that time, or nobody could reach discovery then.
     ListCurrent {
-        at: Tenths,
+        at: TenthMillis,
     },
     /// Discovery turned a call away, or what came is no list.
     ListLost,
--- a/crates/pondlb-server/src/routing/tests.rs
+++ b/crates/pondlb-server/src/routing/tests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use expect_test::{Expect, expect};
-use pondlb::{Arrival, Balancer, Load, Outcome, Tenths, Terms, UpstreamId};
+use pondlb::{Arrival, Balancer, BalancerConfig, Load, Outcome, TenthMillis, UpstreamId};
 use pondlb_http::{Head, Message};
 use pondlb_terms::Names;
 use tokio::sync::oneshot::{self, Receiver};
@@ -77,7 +77,7 @@
 "Schemes":[{"Effect":"idempotent","Name":"browse","SlaTimeNs":1000000000,"Value":1.0},
 {"Effect":"at_most_once","Name":"order","SlaTimeNs":1000000000,"Value":1.0}]}"#;
 
-fn terms() -> (Terms, Names) {
+fn terms() -> (BalancerConfig, Names) {
     let deployment = pondlb_terms::decode(SETTINGS).unwrap();
     (deployment.terms, deployment.names)
 }
@@ -106,16 +106,25 @@
         Play { exchange, trace, waiting: Vec::new() }
     }
 
-    fn arrive(&mut self, now: Tenths, name: &'static str, class: u32, left: Tenths) {
+    fn arrive(&mut self, now: TenthMillis, name: &'static str, class: u32, left: TenthMillis) {
         let (answer, answered) = oneshot::channel();
         let head = Head { first: "GET / HTTP/1.1".into(), fields: Vec::new() };
         let (request, tenant, key, cost) = (name.into(), 0, None, None);
-        let arrival = Arrival { request, class, tenant, key, left, cost, repeat: false, write: false };
+        let arrival = Arrival {
+            request,
+            class,
+            tenant,
+            affinity_key: key,
+            time_left: left,
+            cost,
+            is_retry: false,
+            is_write: false,
+        };
         self.waiting.push((name, answered));
         self.step(now, Some(Note::Arrived { arrival, message: Message { head, body: Vec::new() }, answer }));
     }
 
-    fn end(&mut self, now: Tenths, name: &str, attempt: u32, outcome: Outcome) {
+    fn end(&mut self, now: TenthMillis, name: &str, attempt: u32, outcome: Outcome) {
         let mut end = End::from(outcome);
         if outcome == Outcome::Ok {
             let head = Head { first: "HTTP/1.1 200 OK".into(), fields: Vec::new() };
@@ -124,7 +133,7 @@
         self.step(now, Some(Note::Ended { attempt: (name.into(), attempt), end }));
     }
 
-    fn step(&mut self, now: Tenths, note: Option<Note>) {
+    fn step(&mut self, now: TenthMillis, note: Option<Note>) {
         let heading = match &note {
             None => "wake".into(),
             Some(Note::Arrived { arrival, .. }) => format!("{} comes", arrival.request),
@@ -158,7 +167,7 @@
     }
 
     /// Wakes as it is asked for, until then.
-    fn pass(&mut self, until: Tenths) {
+    fn pass(&mut self, until: TenthMillis) {
         while let Some(at) = self.exchange.wake_at().filter(|at| *at <= until) {
             self.step(at, None);
         }
@@ -416,7 +425,10 @@
     let zones = [("u1", 1, "b", "active", 0), ("u2", 2, "new", "left", 600), ("u3", 3, "a", "leaving", 400)];
     let entries = directory.read(list(false, &zones));
     let lines = entries.iter().map(|e| {
-        format!("{} in zone {} of kind {}: {:?} since {:?}\n", e.upstream, e.zone, e.kind, e.stage, e.started)
+        format!(
+            "{} in zone {} of kind {}: {:?} since {:?}\n",
+            e.upstream, e.zone, e.kind, e.stage, e.started_at
+        )
     });
     expect![[r#"
         u1 in zone 1 of kind 0: Live since None
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb::{RequestId, Tenths};
+use pondlb::{RequestId, TenthMillis};
 use pondlb_http::Fault;
 use socket2::SockRef;
 use tokio::net::TcpStream;
@@ -41,7 +41,7 @@
 pub struct Front {
     pub connections: Rc<ConnectionTable>,
     pub classes: RefCell<Classes>,
-    pub cool_down: Cell<Option<Tenths>>,
+    pub cool_down: Cell<Option<TenthMillis>>,
     pub notes: mpsc::UnboundedSender<Note>,
     pub phase: watch::Receiver<Phase>,
 }
--- a/crates/pondlb-server/src/transport/clock.rs
+++ b/crates/pondlb-server/src/transport/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pondlb::{Tenths, floor_from_ns, to_ns};
+use pondlb::{TenthMillis, ns_to_tenth_millis_floor, tenth_millis_to_ns};
 use tokio::time::Instant;
 
 /// The monotonic clock, in the decisions' unit. It starts late enough that whatever an upstream may still be
@@ -13,7 +13,7 @@
     unix_start: i64,
 }
 
-const BEFORE: Tenths = 24 * 3600 * 10_000;
+const BEFORE: TenthMillis = 24 * 3600 * 10_000;
 
 impl Clock {
     /// The system's clock is read this once: a step of it later must not move any limit.
@@ -23,17 +23,17 @@
         Clock { start: Instant::now(), unix_start: (BEFORE as i64).saturating_sub(unix) }
     }
 
-    pub fn now(&self) -> Tenths {
+    pub fn now(&self) -> TenthMillis {
         self.at(Instant::now())
     }
 
     /// The time of an instant; one before the start counts as the start.
-    pub fn at(&self, instant: Instant) -> Tenths {
+    pub fn at(&self, instant: Instant) -> TenthMillis {
         let since = instant.saturating_duration_since(self.start);
-        BEFORE + floor_from_ns(since.as_nanos() as u64)
+        BEFORE + ns_to_tenth_millis_floor(since.as_nanos() as u64)
     }
 
-    pub fn instant(&self, at: Tenths) -> Instant {
+    pub fn instant(&self, at: TenthMillis) -> Instant {
         self.start + span(at.saturating_sub(BEFORE))
     }
 
@@ -43,6 +43,6 @@
     }
 }
 
-pub fn span(tenths: Tenths) -> Duration {
-    Duration::from_nanos(to_ns(tenths))
+pub fn span(tenths: TenthMillis) -> Duration {
+    Duration::from_nanos(tenth_millis_to_ns(tenths))
 }
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use expect_test::expect;
-use pondlb::{Outcome, Tenths};
+use pondlb::{Outcome, TenthMillis};
 use pondlb_http::{Head, Message};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
@@ -250,11 +250,11 @@
     assert_ne!(waits[0], Backoff::new(2).next_wait().as_millis());
 }
 
-const SECOND: Tenths = 10_000;
+const SECOND: TenthMillis = 10_000;
 
 /// Carries one attempt, which may not begin from `begin_by` on, to an upstream that resets the connection. Tells how the
 /// attempt ended and the first line that the upstream had read.
-async fn carried(begin_by: impl FnOnce(&Clock) -> Tenths) -> (Outcome, String) {
+async fn carried(begin_by: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = upstream.local_addr().unwrap();
     let clock = Clock::start();
--- a/crates/pondlb-terms/src/lib.rs
+++ b/crates/pondlb-terms/src/lib.rs
@@ -7,7 +7,7 @@
 mod upstream;
 mod wire;
 
-use pondlb::{Tenths, Terms};
+use pondlb::{BalancerConfig, TenthMillis};
 pub use settings::{Applied, Difference, SettingChange, Settings, check};
 pub use upstream::Target;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The terms of the decisions.
-    pub terms: Terms,
+    pub terms: BalancerConfig,
     /// What indices stand for.
     pub names: Names,
     /// The values of a load report, in the order in which the simulator lists them.
@@ -42,15 +42,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Links {
     /// How long a connection may take to be made.
-    pub connect_within: Tenths,
+    pub connect_within: TenthMillis,
     /// How long upstreams keep idle connections.
-    pub idle: Tenths,
+    pub idle: TenthMillis,
     /// How long a draining upstream still takes what was sent to it.
-    pub drain_grace: Tenths,
+    pub drain_grace: TenthMillis,
     /// Requests that may be open at once.
     pub most_open: u32,
     /// The longest that a client waits for its answer; none where a class does not say.
-    pub longest_deadline: Option<Tenths>,
+    pub longest_deadline: Option<TenthMillis>,
 }
 
 /// Reads the settings of a file for who does not change them.
--- a/crates/pondlb-terms/src/settings.rs
+++ b/crates/pondlb-terms/src/settings.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-use pondlb::{Class, Lists, Tenant, Terms, TermsChange, floor_from_ns};
+use pondlb::{BalancerConfig, Class, ConfigChange, ListSource, Tenant, ns_to_tenth_millis_floor};
 use serde_json::Value;
 
 use crate::table::Table;
@@ -25,7 +25,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Applied {
     /// For the decisions.
-    pub terms: Vec<TermsChange>,
+    pub terms: Vec<ConfigChange>,
     /// Names of classes with the numbers that they have from now on; none where there is no such class any more.
     pub classes: Vec<(String, Option<u32>)>,
     /// How many settings have other values than before.
@@ -178,28 +178,33 @@
     /// What a front end needs of them, as at its start: no class or tenant has been removed yet.
     pub fn deployment(&self) -> Deployment {
         let Fixed { balancers, self_index, my_zone, warm_keys, .. } = self.fixed;
-        let pondlb::Limits { excess_value, attempt_limits, cool_down, drain_grace, cold } =
-            self.tunables.terms();
-        let must_ask_in = floor_from_ns(self.tunables.rules.must_ask_in_ns);
-        let terms = Terms {
-            balancers,
-            own_number: self_index,
+        let pondlb::Limits {
+            over_quota_value: excess_value,
+            attempt_limits,
+            max_retry_after: cool_down,
+            drain_grace,
+            cold_start: cold,
+        } = self.tunables.terms();
+        let must_ask_in = ns_to_tenth_millis_floor(self.tunables.rules.must_ask_in_ns);
+        let terms = BalancerConfig {
+            balancer_count: balancers,
+            own_index: self_index,
             own_zone: my_zone,
-            lists: match self.fixed.discovery {
-                Discovery::Push => Lists::Unasked,
-                Discovery::Ask => Lists::Asked { within: must_ask_in },
+            list_source: match self.fixed.discovery {
+                Discovery::Push => ListSource::Pushed,
+                Discovery::Ask => ListSource::Polled { max_poll_interval: must_ask_in },
             },
             classes: self.classes.values().map(|class| class.terms.clone()).collect(),
-            tenants: self.tenants.values().map(|tenant| Tenant { quota: tenant.quota_rps }).collect(),
-            excess_value,
+            tenants: self.tenants.values().map(|tenant| Tenant { quota_rps: tenant.quota_rps }).collect(),
+            over_quota_value: excess_value,
             warm_keys,
             max_attempts: attempt_limits.max_attempts,
             hedging: attempt_limits.hedging,
             cancelling: attempt_limits.cancelling,
             probing: self.tunables.limits.probing,
-            cool_down,
+            max_retry_after: cool_down,
             drain_grace,
-            cold,
+            cold_start: cold,
         };
         let names = Names {
             classes: self.classes.values().map(|class| class.wire.name.clone()).collect(),
@@ -327,13 +332,13 @@
                     let terms = class.as_ref().map(|class| class.terms.clone());
                     let Some(number) = self.classes.set(&name, class, in_file) else { continue };
                     applied.classes.push((name, terms.as_ref().map(|_| number)));
-                    applied.terms.push(TermsChange::Class { number, class: terms });
+                    applied.terms.push(ConfigChange::Class { index: number, class: terms });
                     applied.changed += 1;
                 }
                 Change::Tenant(name, tenant) => {
-                    let terms = tenant.map(|tenant| Tenant { quota: tenant.quota_rps });
+                    let terms = tenant.map(|tenant| Tenant { quota_rps: tenant.quota_rps });
                     let Some(number) = self.tenants.set(&name, tenant, in_file) else { continue };
-                    applied.terms.push(TermsChange::Tenant { number, tenant: terms });
+                    applied.terms.push(ConfigChange::Tenant { index: number, tenant: terms });
                     applied.changed += 1;
                 }
                 Change::Limit(..) => {}
@@ -343,7 +348,7 @@
             applied.changed += self.tunables.values().zip(tunables.values()).filter(|(a, b)| a != b).count();
             let before = std::mem::replace(&mut self.tunables, tunables);
             if self.tunables.terms() != before.terms() {
-                applied.terms.push(TermsChange::Limits(self.tunables.terms()));
+                applied.terms.push(ConfigChange::Limits(self.tunables.terms()));
             }
         }
         applied
--- a/crates/pondlb-terms/src/tunable.rs
+++ b/crates/pondlb-terms/src/tunable.rs
@@ -1,6 +1,8 @@
 //! The scalars of the settings that can change in place.
 
-use pondlb::{AttemptLimits, ColdTerms, Limits as TermsLimits, ceil_from_ns, floor_from_ns};
+use pondlb::{
+    AttemptLimits, ColdStart, Limits as TermsLimits, ns_to_tenth_millis_ceil, ns_to_tenth_millis_floor,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -71,19 +73,19 @@
     pub fn terms(&self) -> TermsLimits {
         let Tunables { excess_value, limits, rules } = self;
         TermsLimits {
-            excess_value: *excess_value,
+            over_quota_value: *excess_value,
             attempt_limits: AttemptLimits {
                 max_attempts: limits.max_attempts,
                 hedging: limits.hedging,
                 cancelling: limits.cancelling,
             },
-            cool_down: limits.retry_after.then(|| floor_from_ns(limits.max_retry_after_ns)),
-            drain_grace: floor_from_ns(rules.drain_grace_ns),
-            cold: ColdTerms {
-                share: rules.cold_share,
-                warm_within: ceil_from_ns(rules.warm_within_ns),
-                multiple: rules.fall_multiple,
-                window: ceil_from_ns(rules.fall_ns),
+            max_retry_after: limits.retry_after.then(|| ns_to_tenth_millis_floor(limits.max_retry_after_ns)),
+            drain_grace: ns_to_tenth_millis_floor(rules.drain_grace_ns),
+            cold_start: ColdStart {
+                initial_capacity_share: rules.cold_share,
+                warm_up_time: ns_to_tenth_millis_ceil(rules.warm_within_ns),
+                collapse_load_factor: rules.fall_multiple,
+                collapse_window: ns_to_tenth_millis_ceil(rules.fall_ns),
             },
         }
     }
@@ -92,11 +94,11 @@
     pub fn links(&self, longest_deadline_ns: Option<u64>) -> Links {
         let Tunables { limits, rules, .. } = self;
         Links {
-            connect_within: floor_from_ns(limits.dial_timeout_ns),
-            idle: floor_from_ns(limits.conn_idle_ns),
-            drain_grace: floor_from_ns(rules.drain_grace_ns),
+            connect_within: ns_to_tenth_millis_floor(limits.dial_timeout_ns),
+            idle: ns_to_tenth_millis_floor(limits.conn_idle_ns),
+            drain_grace: ns_to_tenth_millis_floor(rules.drain_grace_ns),
             most_open: limits.max_open,
-            longest_deadline: longest_deadline_ns.map(ceil_from_ns),
+            longest_deadline: longest_deadline_ns.map(ns_to_tenth_millis_ceil),
         }
     }
 }
--- a/crates/pondlb-terms/src/wire.rs
+++ b/crates/pondlb-terms/src/wire.rs
@@ -1,6 +1,6 @@
 //! The settings as their JSON has them. Keys that are not named here are skipped, known or not.
 
-use pondlb::{Class, Effect, Scope, floor_from_ns};
+use pondlb::{Class, DedupScope, Effect, ns_to_tenth_millis_floor};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -173,14 +173,14 @@
             WireEffect::AtMostOnce => Effect::NonIdempotent,
             WireEffect::Deduplicated => Effect::Keyed {
                 scope: match self.dedup_scope.ok_or_else(|| lacks("DedupScope"))? {
-                    WireScope::All => Scope::All,
-                    WireScope::Zone => Scope::Zone,
-                    WireScope::Cell => Scope::Cell,
+                    WireScope::All => DedupScope::All,
+                    WireScope::Zone => DedupScope::Zone,
+                    WireScope::Cell => DedupScope::Cell,
                 },
-                memory: floor_from_ns(self.key_ttl_ns.ok_or_else(|| lacks("KeyTtlNs"))?),
+                key_ttl: ns_to_tenth_millis_floor(self.key_ttl_ns.ok_or_else(|| lacks("KeyTtlNs"))?),
             },
         };
-        Ok(Class { sla: floor_from_ns(self.sla_time_ns), value: self.value, effect })
+        Ok(Class { sla_time: ns_to_tenth_millis_floor(self.sla_time_ns), value: self.value, effect })
     }
 
     pub fn check(&self, key: &str) -> Result<(), Fault> {
--- a/crates/pondlb-terms/tests/changes.rs
+++ b/crates/pondlb-terms/tests/changes.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::expect;
-use pondlb::TermsChange;
+use pondlb::ConfigChange;
 use pondlb_terms::{Applied, SettingChange, Settings, check};
 
 const FILE: &str = r#"{"Balancers":3,"SelfIndex":1,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,
@@ -34,9 +34,13 @@
     let mut text = format!("{} changed, classes {:?}\n", applied.changed, applied.classes);
     for change in &applied.terms {
         match change {
-            TermsChange::Class { number, class } => writeln!(text, "class {number}: {class:?}").unwrap(),
-            TermsChange::Tenant { number, tenant } => writeln!(text, "tenant {number}: {tenant:?}").unwrap(),
-            TermsChange::Limits(limits) => writeln!(text, "{limits:?}").unwrap(),
+            ConfigChange::Class { index: number, class } => {
+                writeln!(text, "class {number}: {class:?}").unwrap()
+            }
+            ConfigChange::Tenant { index: number, tenant } => {
+                writeln!(text, "tenant {number}: {tenant:?}").unwrap()
+            }
+            ConfigChange::Limits(limits) => writeln!(text, "{limits:?}").unwrap(),
         }
     }
     text
@@ -57,7 +61,7 @@
     }
     expect![[r#"
         1 changed, classes [("t", Some(1))]
-        class 1: Some(Class { sla: 5000, value: 2.0, effect: Idempotent })
+        class 1: Some(Class { sla_time: 5000, value: 2.0, effect: Idempotent })
         expiry Some(40000)
         0 changed, classes []
         expiry Some(40000)
@@ -65,7 +69,7 @@
         class 0: None
         expiry Some(40000)
         1 changed, classes [("u", Some(0))]
-        class 0: Some(Class { sla: 1000, value: 9.0, effect: NonIdempotent })
+        class 0: Some(Class { sla_time: 1000, value: 9.0, effect: NonIdempotent })
         expiry Some(40000)
     "#]]
     .assert_eq(&trace);
@@ -82,10 +86,10 @@
     ];
     expect![[r#"
         4 changed, classes []
-        tenant 1: Some(Tenant { quota: 21.0 })
+        tenant 1: Some(Tenant { quota_rps: 21.0 })
         tenant 0: None
-        tenant 0: Some(Tenant { quota: 5.5 })
-        tenant 2: Some(Tenant { quota: 7.0 })
+        tenant 0: Some(Tenant { quota_rps: 5.5 })
+        tenant 2: Some(Tenant { quota_rps: 7.0 })
     "#]]
     .assert_eq(&told(&settings.change(&changes).unwrap()));
 }
@@ -105,16 +109,16 @@
     }
     expect![[r#"
         2 changed, classes []
-        Limits { excess_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, cool_down: Some(20000), drain_grace: 5000, cold: ColdTerms { share: 0.3, warm_within: 89000, multiple: 4.0, window: 20000 } }
+        Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, max_retry_after: Some(20000), drain_grace: 5000, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
         Links { connect_within: 2500, idle: 150000, drain_grace: 5000, most_open: 20000, longest_deadline: Some(30000) }
         2 changed, classes []
-        Limits { excess_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, cool_down: Some(20000), drain_grace: 0, cold: ColdTerms { share: 0.3, warm_within: 89000, multiple: 4.0, window: 20000 } }
+        Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, max_retry_after: Some(20000), drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
         Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 7, longest_deadline: Some(30000) }
         2 changed, classes []
-        Limits { excess_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, cool_down: None, drain_grace: 0, cold: ColdTerms { share: 0.3, warm_within: 89000, multiple: 4.0, window: 20000 } }
+        Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, max_retry_after: None, drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
         Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 7, longest_deadline: Some(30000) }
         2 changed, classes []
-        Limits { excess_value: 0.1, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, cool_down: None, drain_grace: 0, cold: ColdTerms { share: 0.3, warm_within: 89000, multiple: 4.0, window: 20000 } }
+        Limits { over_quota_value: 0.1, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, max_retry_after: None, drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
         Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 20000, longest_deadline: Some(30000) }
     "#]].assert_eq(&trace);
 }
@@ -204,18 +208,18 @@
         0 changed, classes []
         [] take a restart
         2 changed, classes [("s", Some(0))]
-        class 0: Some(Class { sla: 25000, value: 4.0, effect: Idempotent })
+        class 0: Some(Class { sla_time: 25000, value: 4.0, effect: Idempotent })
         [] take a restart
         5 changed, classes [("t", None), ("new", Some(1)), ("s", Some(0))]
         class 1: None
-        class 1: Some(Class { sla: 10000, value: 1.0, effect: NonIdempotent })
-        class 0: Some(Class { sla: 25000, value: 3.0, effect: Idempotent })
+        class 1: Some(Class { sla_time: 10000, value: 1.0, effect: NonIdempotent })
+        class 0: Some(Class { sla_time: 25000, value: 3.0, effect: Idempotent })
         tenant 1: None
         ["SelfIndex", "Zones"] take a restart
         3 changed, classes [("new", None), ("t", Some(1))]
         class 1: None
-        class 1: Some(Class { sla: 10000, value: 1.0, effect: NonIdempotent })
-        tenant 1: Some(Tenant { quota: 20.0 })
+        class 1: Some(Class { sla_time: 10000, value: 1.0, effect: NonIdempotent })
+        tenant 1: Some(Tenant { quota_rps: 20.0 })
     "#]]
     .assert_eq(&trace);
 }
@@ -245,7 +249,7 @@
         0 changed, classes []
         0 changed, classes []
         1 changed, classes []
-        Limits { excess_value: 0.1, attempt_limits: AttemptLimits { max_attempts: 4, hedging: true, cancelling: true }, cool_down: Some(20000), drain_grace: 5000, cold: ColdTerms { share: 0.3, warm_within: 89000, multiple: 4.0, window: 20000 } }
+        Limits { over_quota_value: 0.1, attempt_limits: AttemptLimits { max_attempts: 4, hedging: true, cancelling: true }, max_retry_after: Some(20000), drain_grace: 5000, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
     "#]].assert_eq(&trace);
 }
 
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -3,7 +3,9 @@
 use histogram::Histogram;
 use nanorand::WyRand;
 
-use crate::{Action, Arrival, Entry, Event, GiveUp, Load, Outcome, Stage, Tenths, Terms};
+use crate::{
+    Action, Arrival, BalancerConfig, Event, GiveUpReason, Load, Outcome, Stage, TenthMillis, UpstreamEntry,
+};
 
 mod discovery;
 mod dispatch;
@@ -17,18 +19,18 @@
 use estimate::{Decaying, Estimate, Pace, REST_PACE, WINDOW_OUTCOMES};
 use lease::ListLease;
 use queue::{Attempt, Queue, Request};
-pub use shell::Balancer;
+pub use shell::{Balancer, TrackedCounts};
 use subset::Fleet;
 use upstream::{ANSWER_LOWERS, EJECTED, FADE, Upstream, Zone};
 
-const SECOND: Tenths = 10_000;
+const SECOND: TenthMillis = 10_000;
 
 /// The halving time of what flows: with it a level is the sum over ten seconds.
-const LONG: Tenths = 7 * SECOND;
+const LONG: TenthMillis = 7 * SECOND;
 const PACE_WINDOW: f64 = 32.0;
 const FEW_ANSWERS: f64 = 4.0;
 /// A hint of more, 28 minutes, can't be true; the bins of costs end there.
-const MOST_COST: Tenths = (1 << 24) - 1;
+const MOST_COST: TenthMillis = (1 << 24) - 1;
 /// What is listed beyond these can't be true, and one answer from there would spoil the pace of all.
 const LEAST_SIZE: f64 = 0.01;
 const MOST_SIZE: f64 = 1e4;
@@ -38,33 +40,33 @@
 const EXTRA_SAVED: f64 = 4.0;
 
 struct Dispatcher {
-    terms: Terms,
+    terms: BalancerConfig,
     rng: WyRand,
     estimate: Estimate,
     fleet: Fleet,
     queue: Queue,
     costs: Histogram,
     extra: f64,
-    quotas: Vec<(f64, Tenths)>,
+    quotas: Vec<(f64, TenthMillis)>,
     highest_value: f64,
     lease: ListLease,
 }
 
 impl Dispatcher {
-    fn new(terms: Terms, rng: WyRand) -> Self {
+    fn new(terms: BalancerConfig, rng: WyRand) -> Self {
         let (estimate, quotas) = (Estimate::new(&terms), vec![(0.0, 0); terms.tenants.len()]);
         let costs = Histogram::new(3, 24).expect("the bins are fixed");
         let (fleet, queue) = (Fleet { cores: 1.0, ..Fleet::default() }, Queue::default());
-        let (extra, highest_value, lease) = (EXTRA_SAVED, terms.highest_value(), ListLease::default());
+        let (extra, highest_value, lease) = (EXTRA_SAVED, terms.max_class_value(), ListLease::default());
         Dispatcher { estimate, quotas, terms, rng, fleet, queue, costs, extra, highest_value, lease }
     }
 
-    fn receive(&mut self, now: Tenths, event: Event, out: &mut Vec<Action>) {
+    fn receive(&mut self, now: TenthMillis, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrive(now, arrival, out),
-            Event::Ended { request, attempt, upstream, outcome, took, answered, load } => {
+            Event::RequestArrived(arrival) => self.arrive(now, arrival, out),
+            Event::AttemptEnded { request, attempt, upstream, outcome, duration: took, answered, load } => {
                 let Some(&up) = self.fleet.names.get(&upstream) else { return };
-                if self.terms.probing && (load.held.is_some() || outcome == Outcome::Full) {
+                if self.terms.probing && (load.in_flight.is_some() || outcome == Outcome::Full) {
                     let told = if outcome == Outcome::Full { outcome } else { Outcome::Ok };
                     self.report(now, up, told, load);
                 }
@@ -85,7 +87,7 @@
                 }
                 let upstream = &mut self.fleet.board[up];
                 let entry = &upstream.entry;
-                let size = entry.size.clamp(LEAST_SIZE, MOST_SIZE);
+                let size = entry.capacity.clamp(LEAST_SIZE, MOST_SIZE);
                 let (zone, work) = (self.fleet.zones.entry(entry.zone).or_default(), cost / size);
                 // Else a small request's way there and back would pass for overload of its upstream.
                 let way = zone.pace.least;
@@ -117,24 +119,24 @@
                 }
                 self.close(number, out);
             }
-            Event::Left { request } => {
+            Event::ClientDisconnected { request } => {
                 let Some(&number) = self.queue.numbers.get(&request) else { return };
                 self.close(number, out);
             }
-            Event::Probed { upstream, outcome, load, .. } => {
+            Event::ProbeEnded { upstream, outcome, load, .. } => {
                 if let Some(&up) = self.fleet.names.get(&upstream) {
                     self.report(now, up, outcome, load);
                 }
             }
-            Event::ListCurrent { at } => self.lease.renew(at),
-            Event::DiscoveryMoved => self.lease.move_at(now),
+            Event::ListConfirmed { at } => self.lease.renew(at),
+            Event::DiscoveryAddressChanged => self.lease.move_at(now),
             // Talk with peers is not used.
-            Event::Listed(_) | Event::Woke { .. } | Event::Heard { .. } => {}
+            Event::ListUpdate(_) | Event::TimerFired { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
     /// Takes what the list says of an upstream, or that it is not on the list any more.
-    fn listed(&mut self, now: Tenths, up: usize, entry: Option<Entry>) {
+    fn listed(&mut self, now: TenthMillis, up: usize, entry: Option<UpstreamEntry>) {
         self.fleet.rank(up, &self.terms, |ranking, rank| ranking.remove(&rank));
         let upstream = &mut self.fleet.board[up];
         match entry {
@@ -145,23 +147,23 @@
         self.fleet.relisted.insert(up);
     }
 
-    fn report(&mut self, now: Tenths, up: usize, outcome: Outcome, load: Load) {
-        if let (Some(held), Some(waiting)) = (load.held, load.waiting.filter(|waiting| *waiting >= 1.0)) {
+    fn report(&mut self, now: TenthMillis, up: usize, outcome: Outcome, load: Load) {
+        if let (Some(held), Some(waiting)) = (load.in_flight, load.queued.filter(|waiting| *waiting >= 1.0)) {
             self.fleet.cores += (held - waiting - self.fleet.cores) / PACE_WINDOW;
         }
         self.fleet.board[up].reported(now, outcome, load);
     }
 
-    fn arrive(&mut self, now: Tenths, arrival: Arrival, out: &mut Vec<Action>) {
+    fn arrive(&mut self, now: TenthMillis, arrival: Arrival, out: &mut Vec<Action>) {
         let number = self.queue.next;
         self.queue.next += 1;
         self.fleet.arrivals.add(now, LONG, 1.0);
         let share = self.share(now, arrival.tenant as usize);
         let class = self.terms.classes[(arrival.class as usize).min(self.terms.classes.len() - 1)].clone();
         let rank = (class.value * share).max(0.0).to_bits();
-        let sla_end = now + class.sla.min(arrival.left);
+        let sla_end = now + class.sla_time.min(arrival.time_left);
         let cost = arrival.cost.unwrap_or(1).clamp(1, MOST_COST) as f64;
-        let (id, key, heavy) = (arrival.request.clone(), arrival.key, self.weigh(cost));
+        let (id, key, heavy) = (arrival.request.clone(), arrival.affinity_key, self.weigh(cost));
         let (arrived, effect, limits) = (now, class.effect, self.terms.attempt_limits());
         let request =
             Request { id, effect, limits, cost, key, heavy, arrived, sla_end, rank, ..Request::default() };
@@ -170,21 +172,21 @@
         self.queue.numbers.insert(arrival.request, number);
         self.queue.requests.insert(number, request);
         if !self.terms.probing && takes > (sla_end - now) as f64 {
-            self.give_up(number, GiveUp::TooLong, out)
+            self.give_up(number, GiveUpReason::TooLong, out)
         } else {
             self.hold(now, number)
         }
     }
 
     /// What part of its value counts, by the tenant's share of this balancer as a bucket of one second.
-    fn share(&mut self, now: Tenths, tenant: usize) -> f64 {
-        let quota = self.terms.tenants.get(tenant).map(|t| self.terms.part(t.quota));
+    fn share(&mut self, now: TenthMillis, tenant: usize) -> f64 {
+        let quota = self.terms.tenants.get(tenant).map(|t| self.terms.own_share(t.quota_rps));
         let (Some(quota), Some((left, at))) = (quota, self.quotas.get_mut(tenant)) else { return 1.0 };
         *left = (*left + quota * (now - *at) as f64 / SECOND as f64).min(quota.max(1.0));
         *at = now;
         let over = *left < 1.0;
         *left -= if over { 0.0 } else { 1.0 };
-        if over { self.terms.excess_value } else { 1.0 }
+        if over { self.terms.over_quota_value } else { 1.0 }
     }
 
     fn weigh(&mut self, cost: f64) -> bool {
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -5,7 +5,7 @@
 use nanorand::Rng;
 
 use super::{Attempt, Dispatcher, EJECTED, FADE, LONG, PACE_WINDOW, Request, mix};
-use crate::{Action, Effect, GiveUp, Scope, Tenths};
+use crate::{Action, DedupScope, Effect, GiveUpReason, TenthMillis};
 
 /// An attempt is overdue after tp, or after this many times the pooled pace for its cost where that is longer.
 const OVERDUE_PACE: f64 = 2.0;
@@ -17,10 +17,10 @@
 /// Requests of so many mean costs ask two upstreams for their load, who have so long for both to answer or for one.
 const ASK_FROM: f64 = 1.0;
 const ASKED: u32 = u32::MAX;
-const ASKED_BOTH: Tenths = 250;
-const ASKED_ANY: Tenths = 1500;
+const ASKED_BOTH: TenthMillis = 250;
+const ASKED_ANY: TenthMillis = 1500;
 /// What an upstream told of its load counts as new for so long.
-const FRESH: Tenths = 1000;
+const FRESH: TenthMillis = 1000;
 /// A part of the room is kept from a request that others are worth more than: how steeply, and how much at most.
 const KEPT_STEEP: i32 = 4;
 const MOST_KEPT: f64 = 0.75;
@@ -33,7 +33,7 @@
 
 impl Dispatcher {
     /// One attempt, or one request given up; false when nothing more can leave.
-    pub fn release(&mut self, now: Tenths, out: &mut Vec<Action>) -> bool {
+    pub fn release(&mut self, now: TenthMillis, out: &mut Vec<Action>) -> bool {
         self.fleet.note_out(now, 0.0);
         // More than the first, against one that only some upstreams may take keeping all others waiting.
         let heads: Vec<u64> = self.queue.held.iter().take(4).map(|(_, number)| *number).collect();
@@ -49,7 +49,7 @@
                 // Where nobody waits it costs nobody, and late is worth more than never.
                 let waits = self.fleet.told(now, up) >= self.fleet.mean_cost();
                 if waits && self.is_late(now, &self.queue.requests[&number], up) {
-                    self.give_up(number, GiveUp::ForeseenLate, out);
+                    self.give_up(number, GiveUpReason::ForeseenLate, out);
                 } else {
                     self.attempt(now, number, up, out);
                 }
@@ -60,15 +60,15 @@
     }
 
     /// Why a held request can't be sent now, and would not be sent later either.
-    fn hindrance(&self, now: Tenths, number: u64) -> Option<GiveUp> {
+    fn hindrance(&self, now: TenthMillis, number: u64) -> Option<GiveUpReason> {
         if self.fleet.candidates.is_empty() {
-            return Some(GiveUp::NoUpstream);
+            return Some(GiveUpReason::NoUpstream);
         }
         if self.lease.is_over(now, &self.terms) {
-            return Some(GiveUp::StaleList);
+            return Some(GiveUpReason::StaleList);
         }
         let is_over = self.queue.requests[&number].begin_by().is_some_and(|by| by <= now + 1);
-        is_over.then_some(GiveUp::WindowOver)
+        is_over.then_some(GiveUpReason::WindowOver)
     }
 
     /// The last of the room is kept for what is worth more: with little traffic, one at a time is held.
@@ -79,7 +79,7 @@
     }
 
     /// Whether it is foreseen to be late there, by what is told to be waiting and its own work.
-    fn is_late(&self, now: Tenths, request: &Request, up: usize) -> bool {
+    fn is_late(&self, now: TenthMillis, request: &Request, up: usize) -> bool {
         let left = request.sla_end.saturating_sub(now) as f64 * self.fleet.speed(up);
         self.terms.probing && self.fleet.told(now, up) + request.cost * self.fleet.cores.max(1.0) > left
     }
@@ -91,7 +91,7 @@
         (1.0 - value / most.max(f64::MIN_POSITIVE)).powi(KEPT_STEEP).min(MOST_KEPT)
     }
 
-    fn pick(&mut self, now: Tenths, number: u64, out: &mut Vec<Action>) -> Option<usize> {
+    fn pick(&mut self, now: TenthMillis, number: u64, out: &mut Vec<Action>) -> Option<usize> {
         let chance = self.rng.generate::<u64>();
         let request = &self.queue.requests[&number];
         let cost = request.cost;
@@ -106,9 +106,9 @@
         let fit = |up: &usize, careful: bool| {
             let s = &self.fleet.board[*up];
             let in_group = pinned.is_none_or(|(scope, first)| match scope {
-                Scope::All => true,
-                Scope::Zone => first.entry.zone == s.entry.zone,
-                Scope::Cell => first.entry.cell == s.entry.cell,
+                DedupScope::All => true,
+                DedupScope::Zone => first.entry.zone == s.entry.zone,
+                DedupScope::Cell => first.entry.cell == s.entry.cell,
             });
             in_group
                 && f64::from(s.in_flight) < s.cap
@@ -162,12 +162,12 @@
         self.least(now, if told.is_empty() { &two } else { &told }, cost)
     }
 
-    fn least(&self, now: Tenths, ups: &[usize], cost: f64) -> Option<usize> {
+    fn least(&self, now: TenthMillis, ups: &[usize], cost: f64) -> Option<usize> {
         ups.iter().copied().min_by(|a, b| self.load(now, *a, cost).total_cmp(&self.load(now, *b, cost)))
     }
 
     /// The two between which load decides, drawn by speed so that slow ones get less; a key draws alike everywhere.
-    fn two(&self, now: Tenths, request: &Request, fitting: &[usize], chance: u64) -> Vec<usize> {
+    fn two(&self, now: TenthMillis, request: &Request, fitting: &[usize], chance: u64) -> Vec<usize> {
         let key = request.key.filter(|_| self.terms.warm_keys);
         // Twice its time is not left: two drawn at random may both be too slow for it.
         let tight =
@@ -190,7 +190,7 @@
     }
 
     /// What is in flight counts by its cost: a very heavy request has time enough only where work gets done fast.
-    fn load(&self, now: Tenths, up: usize, cost: f64) -> f64 {
+    fn load(&self, now: TenthMillis, up: usize, cost: f64) -> f64 {
         let s = &self.fleet.board[up];
         let away = if s.entry.zone == self.terms.own_zone { 0.0 } else { 1.0 };
         let there = s.cost_out.max(self.fleet.told(now, up));
@@ -200,16 +200,18 @@
 
     /// A cold upstream gets its part of what warm ones bear (served cost by size) in each window. What is less
     /// than a request is granted by chance: one from each of many balancers would be hundreds in sum.
-    fn cold_room(&self, now: Tenths, up: usize, cost: f64) -> bool {
-        let (cold, s) = (&self.terms.cold, &self.fleet.board[up]);
+    fn cold_room(&self, now: TenthMillis, up: usize, cost: f64) -> bool {
+        let (cold, s) = (&self.terms.cold_start, &self.fleet.board[up]);
         let Some(age) = s.cold_age(now, &self.terms) else { return true };
         // Of a fleet that is mostly cold, what its listed speed could bear would be taken for far too little.
         let present = |up: &usize| self.fleet.board[*up].present(now, &self.terms) * self.fleet.speed(*up);
         let flow = self.fleet.flow.at(now, LONG) / self.fleet.candidates.iter().map(present).sum::<f64>();
-        let budget = COLD_MARGIN * cold.multiple * flow * present(&up) * cold.window as f64;
-        let drawn = mix(mix(s.order ^ u64::from(self.terms.own_number)) ^ (age / cold.window.max(1))) as f64
+        let budget =
+            COLD_MARGIN * cold.collapse_load_factor * flow * present(&up) * cold.collapse_window as f64;
+        let drawn = mix(mix(s.order ^ u64::from(self.terms.own_index)) ^ (age / cold.collapse_window.max(1)))
+            as f64
             / u64::MAX as f64;
-        s.cold_work.at(now, cold.window.max(1)) + cost <= budget + drawn * cost
+        s.cold_work.at(now, cold.collapse_window.max(1)) + cost <= budget + drawn * cost
     }
 
     /// What an attempt costs a cold upstream: a new connection too, and light ones are heavier than they look.
@@ -217,7 +219,7 @@
         cost + LEAST_ARRIVES * self.fleet.mean_cost()
     }
 
-    fn attempt(&mut self, now: Tenths, number: u64, up: usize, out: &mut Vec<Action>) {
+    fn attempt(&mut self, now: TenthMillis, number: u64, up: usize, out: &mut Vec<Action>) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
         let ((_, slot), window) = (self.estimate.plan(now, request.sla_end), request.begin_by());
         let begin_by = window.into_iter().chain(self.lease.end(&self.terms)).min();
@@ -230,7 +232,7 @@
         }
         // Neither a heavy request nor a long way is a sign of trouble: its repeat would be the dearest waste.
         let way = self.fleet.zones.get(&self.fleet.board[up].entry.zone).map_or(0.0, |zone| zone.pace.least);
-        let due = self.estimate.tp.max((OVERDUE_PACE * self.fleet.pace.mean() * (cost + way)) as Tenths);
+        let due = self.estimate.tp.max((OVERDUE_PACE * self.fleet.pace.mean() * (cost + way)) as TenthMillis);
         // Where two may not be out together, the first ends at tp to make room for the next.
         let last = attempt + 1 >= request.limits.max_attempts;
         let alone = request.effect == Effect::Idempotent && !request.limits.hedging;
@@ -238,7 +240,7 @@
         request.asked.1.clear();
         request.attempts.push(Attempt { up, sent: now, out: true, may_have_run: false });
         let upstream = self.fleet.board[up].entry.upstream.clone();
-        out.push(Action::Attempt { request: request.id.clone(), upstream, timeout, begin_by });
+        out.push(Action::Attempt { request: request.id.clone(), upstream, timeout, send_by: begin_by });
         let arrives = self.arrives(cost);
         self.fleet.board[up].sent(now, cost, arrives, &self.terms);
         self.queue.alarms.push(Reverse((now + due, number, Some(attempt))));
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -3,7 +3,7 @@
 use histogram::Histogram;
 
 use super::SECOND;
-use crate::{Tenths, Terms};
+use crate::{BalancerConfig, TenthMillis};
 
 /// The quantile that makes tp, and the reliability that the needed tries aim at: with these two tries do.
 const TP_QUANTILE: f64 = 0.95;
@@ -11,7 +11,7 @@
 /// A request is given up when fewer of the pooled answers than this would come within its time left.
 const QUICK_QUANTILE: f64 = 0.1;
 pub const WINDOW_OUTCOMES: u32 = 1000;
-const WINDOW: Tenths = 5 * SECOND;
+const WINDOW: TenthMillis = 5 * SECOND;
 /// The window waits for so many at least, or with little traffic it would never hold enough to speak.
 const FEW_OUTCOMES: u32 = 32;
 const PACE_ANSWERS: f64 = 8.0;
@@ -22,23 +22,23 @@
 pub struct Estimate {
     pub took: Histogram,
     pub since: u32,
-    pub halved: Tenths,
+    pub halved: TenthMillis,
     /// What the dispatcher plans with: tp, the mean wait, the tries needed, and the least time left worth a try.
-    pub tp: Tenths,
+    pub tp: TenthMillis,
     pub wait: f64,
     pub needed: u64,
-    pub quick: Tenths,
+    pub quick: TenthMillis,
 }
 
 impl Estimate {
-    pub fn new(terms: &Terms) -> Self {
-        let tightest = terms.classes.iter().map(|s| s.sla).min().unwrap_or(SECOND);
+    pub fn new(terms: &BalancerConfig) -> Self {
+        let tightest = terms.classes.iter().map(|s| s.sla_time).min().unwrap_or(SECOND);
         // Until answers come, half the tightest SLA time: late for most, early enough for a second try.
         let (tp, took) = ((tightest / 2).max(1), Histogram::new(3, 20).expect("the bins are fixed"));
         Estimate { took, since: 0, halved: 0, tp, wait: 0.0, needed: 1, quick: 0 }
     }
 
-    pub fn took(&mut self, now: Tenths, took: Tenths) {
+    pub fn took(&mut self, now: TenthMillis, took: TenthMillis) {
         self.took.increment(took.min((1 << 20) - 1)).unwrap_or_default();
         self.since += 1;
         if self.since >= WINDOW_OUTCOMES || now >= self.halved + WINDOW && self.since >= FEW_OUTCOMES {
@@ -58,8 +58,8 @@
     }
 
     /// When to send at the latest for as many tries as are needed, and whether there is time for one at all.
-    pub fn plan(&self, now: Tenths, sla_end: Tenths) -> (Tenths, bool) {
-        let span = self.wait as Tenths + self.tp;
+    pub fn plan(&self, now: TenthMillis, sla_end: TenthMillis) -> (TenthMillis, bool) {
+        let span = self.wait as TenthMillis + self.tp;
         let slots = sla_end.saturating_sub(now) / span;
         let tries = slots.min(self.needed);
         let early = if tries == 0 { self.tp } else { tries * span };
@@ -70,15 +70,15 @@
 #[derive(Clone, Copy, Default)]
 pub struct Decaying {
     pub level: f64,
-    pub at: Tenths,
+    pub at: TenthMillis,
 }
 
 impl Decaying {
-    pub fn at(&self, now: Tenths, half: Tenths) -> f64 {
+    pub fn at(&self, now: TenthMillis, half: TenthMillis) -> f64 {
         self.level * (-(now.saturating_sub(self.at) as f64) / half as f64).exp2()
     }
 
-    pub fn add(&mut self, now: Tenths, half: Tenths, amount: f64) {
+    pub fn add(&mut self, now: TenthMillis, half: TenthMillis, amount: f64) {
         (self.level, self.at) = (self.at(now, half) + amount, now);
     }
 }
@@ -95,14 +95,14 @@
 }
 
 impl Pace {
-    pub fn note(&mut self, took: Tenths, cost: f64, window: f64) -> f64 {
+    pub fn note(&mut self, took: TenthMillis, cost: f64, window: f64) -> f64 {
         self.least = if self.answers == 0.0 { took as f64 } else { self.least.min(took as f64) };
         self.answers = (self.answers + 1.0).min(window);
         self.log += ((took.max(1) as f64 / cost).ln() - self.log) / self.answers;
         self.mean()
     }
 
-    pub fn slowdown(&mut self, took: Tenths, cost: f64) -> f64 {
+    pub fn slowdown(&mut self, took: TenthMillis, cost: f64) -> f64 {
         let pace = self.note(took, cost, PACE_ANSWERS);
         // Costs are in time of a standard core: one never seen at rest must not take a jam for its best.
         let rest = if cost > 1.0 { REST_PACE } else { pace };
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -6,13 +6,13 @@
 use nanorand::Rng;
 
 use super::{Dispatcher, LONG};
-use crate::{Action, AttemptLimits, Effect, GiveUp, RequestId, Scope, Tenths};
+use crate::{Action, AttemptLimits, DedupScope, Effect, GiveUpReason, RequestId, TenthMillis};
 
 const GIVE_WAY: f64 = 4.0;
 
 pub struct Attempt {
     pub up: usize,
-    pub sent: Tenths,
+    pub sent: TenthMillis,
     pub out: bool,
     pub may_have_run: bool,
 }
@@ -26,14 +26,14 @@
     pub cost: f64,
     pub key: Option<u64>,
     pub heavy: bool,
-    pub arrived: Tenths,
+    pub arrived: TenthMillis,
     /// The end of its SLA time, or its deadline where that is sooner.
-    pub sla_end: Tenths,
+    pub sla_end: TenthMillis,
     pub rank: u64,
-    pub held: Option<Tenths>,
+    pub held: Option<TenthMillis>,
     pub attempts: Vec<Attempt>,
     /// When it asked for their load before it is sent, and which upstreams.
-    pub asked: (Tenths, Vec<usize>),
+    pub asked: (TenthMillis, Vec<usize>),
 }
 
 impl Request {
@@ -57,8 +57,8 @@
     }
 
     /// Until when one that may have run can be repeated without running twice.
-    pub fn begin_by(&self) -> Option<Tenths> {
-        let Effect::Keyed { memory, .. } = self.effect else { return None };
+    pub fn begin_by(&self) -> Option<TenthMillis> {
+        let Effect::Keyed { key_ttl: memory, .. } = self.effect else { return None };
         self.first().map(|a| a.sent + memory)
     }
 }
@@ -68,15 +68,15 @@
     pub requests: BTreeMap<u64, Request>,
     pub numbers: HashMap<RequestId, u64>,
     pub next: u64,
-    pub held: BTreeSet<(Tenths, u64)>,
-    pub by_rank: BTreeSet<(u64, Reverse<Tenths>, u64)>,
+    pub held: BTreeSet<(TenthMillis, u64)>,
+    pub by_rank: BTreeSet<(u64, Reverse<TenthMillis>, u64)>,
     pub held_cost: f64,
     /// When an attempt is overdue, a held request (no attempt) runs out of time, or a probe (`ASKED`) is waited for.
-    pub alarms: BinaryHeap<Reverse<(Tenths, u64, Option<u32>)>>,
+    pub alarms: BinaryHeap<Reverse<(TenthMillis, u64, Option<u32>)>>,
 }
 
 impl Dispatcher {
-    pub fn hold(&mut self, now: Tenths, number: u64) {
+    pub fn hold(&mut self, now: TenthMillis, number: u64) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
         let (send_by, _) = self.estimate.plan(now, request.sla_end);
         let by = request.begin_by().unwrap_or(request.sla_end);
@@ -97,7 +97,7 @@
     }
 
     /// In a jam the requests of least value give way, at once rather than at the end of a hopeless wait.
-    pub fn shed(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub fn shed(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         while let Some(&(_, _, number)) = self.queue.by_rank.first() {
             let request = &self.queue.requests[&number];
             let flow = self.fleet.flow.at(now, LONG);
@@ -107,53 +107,54 @@
             if GIVE_WAY * self.queue.held_cost <= slack as f64 * flow || flow == 0.0 || asks {
                 return;
             }
-            self.stop_waiting(number, GiveUp::Overload, out);
+            self.stop_waiting(number, GiveUpReason::Overload, out);
         }
     }
 
     /// Only as many as what was served in time pays for, against hedges feeding the slowdown they should hide.
-    pub fn hedge(&mut self, now: Tenths, number: u64) {
+    pub fn hedge(&mut self, now: TenthMillis, number: u64) {
         let request = &self.queue.requests[&number];
         if request.limits.hedging && request.may_retry() && self.extra >= 1.0 {
             self.hold(now, number);
         }
     }
 
-    pub fn failed(&mut self, now: Tenths, number: u64, out: &mut Vec<Action>) {
+    pub fn failed(&mut self, now: TenthMillis, number: u64, out: &mut Vec<Action>) {
         let request = &self.queue.requests[&number];
         if request.held.is_some() || request.out() {
             return;
         }
         match request.may_retry() {
             true => self.hold_or_give_up(now, number, out),
-            false => self.give_up(number, GiveUp::AttemptsFailed, out),
+            false => self.give_up(number, GiveUpReason::AttemptsFailed, out),
         }
     }
 
     /// The final answer for what cannot be served: a rejection where the rules allow it, else a failure.
-    pub fn give_up(&mut self, number: u64, why: GiveUp, out: &mut Vec<Action>) {
+    pub fn give_up(&mut self, number: u64, why: GiveUpReason, out: &mut Vec<Action>) {
         let request = &self.queue.requests[&number];
         let may_reject = match request.effect {
-            Effect::Idempotent | Effect::Keyed { scope: Scope::All, .. } => true,
+            Effect::Idempotent | Effect::Keyed { scope: DedupScope::All, .. } => true,
             Effect::NonIdempotent | Effect::Keyed { .. } => request.never_ran(),
         };
         let request = request.id.clone();
         // Apart from each other, against all those rejected coming back in one wave.
-        let cool_down = self.terms.cool_down.map(|l| l / 2 + self.rng.generate_range(0..(l / 2).max(1)));
+        let cool_down =
+            self.terms.max_retry_after.map(|l| l / 2 + self.rng.generate_range(0..(l / 2).max(1)));
         out.push(match may_reject {
-            true => Action::Reject { request, cool_down, why },
-            false => Action::Fail { request, why },
+            true => Action::Reject { request, retry_after: cool_down, reason: why },
+            false => Action::Fail { request, reason: why },
         });
         self.close(number, out);
     }
 
-    pub fn stop_waiting(&mut self, number: u64, why: GiveUp, out: &mut Vec<Action>) {
+    pub fn stop_waiting(&mut self, number: u64, why: GiveUpReason, out: &mut Vec<Action>) {
         if self.queue.requests[&number].out() { self.unhold(number) } else { self.give_up(number, why, out) }
     }
 
-    fn hold_or_give_up(&mut self, now: Tenths, number: u64, out: &mut Vec<Action>) {
+    fn hold_or_give_up(&mut self, now: TenthMillis, number: u64, out: &mut Vec<Action>) {
         let hopeful = now + self.estimate.quick < self.queue.requests[&number].sla_end;
-        if hopeful { self.hold(now, number) } else { self.give_up(number, GiveUp::NoTimeLeft, out) }
+        if hopeful { self.hold(now, number) } else { self.give_up(number, GiveUpReason::NoTimeLeft, out) }
     }
 
     pub fn close(&mut self, number: u64, out: &mut Vec<Action>) {
@@ -164,7 +165,7 @@
         out.extend(outs.map(|(attempt, _)| Action::Cancel { request: request.id.clone(), attempt }));
     }
 
-    pub fn ring(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub fn ring(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         while let Some(&Reverse((_, number, attempt))) = self.queue.alarms.peek().filter(|a| a.0.0 <= now) {
             self.queue.alarms.pop();
             let Some(request) = self.queue.requests.get(&number) else { continue };
--- a/src/balance/shell.rs
+++ b/src/balance/shell.rs
@@ -3,12 +3,15 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 use nanorand::WyRand;
 
 use super::discovery::Discovery;
 use super::{Dispatcher, Fleet, SECOND, Upstream};
-use crate::{Action, Entry, Event, Listing, Stage, Tenths, Terms, TermsChange, UpstreamId};
+use crate::{
+    Action, BalancerConfig, ConfigChange, Event, ListUpdate, Stage, TenthMillis, UpstreamEntry, UpstreamId,
+};
 
 /// Zones or kinds beyond so many are forgotten when no upstream is of them.
 const MANY_NAMES: usize = 32;
@@ -20,17 +23,17 @@
     /// Places of upstreams that are forgotten.
     free: Vec<usize>,
     /// Places of those that are gone and not forgotten yet, by the time since when.
-    gone: BTreeSet<(Tenths, usize)>,
+    gone: BTreeSet<(TenthMillis, usize)>,
     known: Known,
     /// When the caller was last asked to come back, with or without news.
-    wake: Option<Tenths>,
+    wake: Option<TenthMillis>,
     /// The lease on the list is over, as the log has been told.
     is_stale: bool,
 }
 
 impl Balancer {
     /// A balancer that knows no upstreams yet. Equal seeds and events bring equal actions.
-    pub fn new(terms: Terms, seed: u64) -> Self {
+    pub fn new(terms: BalancerConfig, seed: u64) -> Self {
         let discovery = Discovery { refusals: 0, ask_at: None };
         let dispatcher = Dispatcher::new(terms, WyRand::new_seed(seed));
         let (free, gone, known) = (Vec::new(), BTreeSet::new(), Known::default());
@@ -38,15 +41,20 @@
     }
 
     /// Takes what happened until now and adds to `out` what is to be done.
-    pub fn handle(&mut self, now: Tenths, events: impl IntoIterator<Item = Event>, out: &mut Vec<Action>) {
+    pub fn handle(
+        &mut self,
+        now: TenthMillis,
+        events: impl IntoIterator<Item = Event>,
+        out: &mut Vec<Action>,
+    ) {
         for event in events {
             match event {
-                Event::Listed(listing) => self.list(now, listing),
+                Event::ListUpdate(listing) => self.list(now, listing),
                 event => self.dispatcher.receive(now, event, out),
             }
         }
         if self.discovery.ask_at.take_if(|at| *at <= now).is_some() {
-            out.push(Action::Watch { on: true });
+            out.push(Action::WatchList { enabled: true });
         }
         self.dispatcher.ring(now, out);
         self.dispatcher.fleet.choose_candidates(now, &self.dispatcher.terms);
@@ -60,17 +68,17 @@
         };
         if self.wake.is_none_or(|at| at <= now || next < at) {
             self.wake = Some(next);
-            out.push(Action::Wake { token: "wake", after: next.saturating_sub(now).max(1) });
+            out.push(Action::SetTimer { token: "wake", after: next.saturating_sub(now).max(1) });
         }
     }
 
     /// Whether nothing may be sent since the list has not been confirmed for too long.
-    pub fn is_stale(&self) -> bool {
+    pub fn is_list_stale(&self) -> bool {
         self.is_stale
     }
 
     /// Has the log told when nothing may be sent any more, and when it may again.
-    fn note_lease(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn note_lease(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         let is_stale = self.dispatcher.lease.is_over(now, &self.dispatcher.terms);
         if is_stale == self.is_stale {
             return;
@@ -84,23 +92,25 @@
     }
 
     /// Puts changes of the terms in force. Requests that are open end under what they came with.
-    pub fn change(&mut self, changes: &[TermsChange]) {
+    pub fn apply(&mut self, changes: &[ConfigChange]) {
         let Dispatcher { terms, quotas, highest_value, .. } = &mut self.dispatcher;
-        changes.iter().for_each(|change| terms.change(change));
+        changes.iter().for_each(|change| terms.apply(change));
         quotas.resize(terms.tenants.len(), (0.0, 0));
-        if changes.iter().any(|change| matches!(change, TermsChange::Class { .. })) {
-            *highest_value = terms.highest_value();
+        if changes.iter().any(|change| matches!(change, ConfigChange::Class { .. })) {
+            *highest_value = terms.max_class_value();
         }
     }
 
-    fn list(&mut self, now: Tenths, listing: Listing) {
+    fn list(&mut self, now: TenthMillis, listing: ListUpdate) {
         let (entries, whole) = match &listing {
-            Listing::Lost | Listing::Unreached | Listing::Silent => return self.ask(now, &listing),
-            Listing::Changes(entries) => (entries, false),
-            Listing::Whole(entries) | Listing::Remembered(entries) => (entries, true),
+            ListUpdate::Refused | ListUpdate::Unreachable | ListUpdate::WatchTimedOut => {
+                return self.ask(now, &listing);
+            }
+            ListUpdate::Changes(entries) => (entries, false),
+            ListUpdate::Snapshot(entries) | ListUpdate::Restored(entries) => (entries, true),
         };
         self.discovery.refusals = 0;
-        if matches!(listing, Listing::Remembered(_)) {
+        if matches!(listing, ListUpdate::Restored(_)) {
             self.ask(now, &listing);
         }
         self.forget(now);
@@ -125,7 +135,7 @@
     }
 
     /// Hands on what the list says of an upstream, and keeps count of it.
-    pub fn listed(&mut self, now: Tenths, up: usize, entry: Option<Entry>) {
+    pub fn listed(&mut self, now: TenthMillis, up: usize, entry: Option<UpstreamEntry>) {
         let before = &self.dispatcher.fleet.board[up];
         self.known.remove(&before.entry);
         self.gone.remove(&(before.gone, up));
@@ -137,13 +147,13 @@
         }
     }
 
-    pub fn ask(&mut self, now: Tenths, why: &Listing) {
+    pub fn ask(&mut self, now: TenthMillis, why: &ListUpdate) {
         let Dispatcher { terms, lease, rng, .. } = &mut self.dispatcher;
         self.discovery.ask(now, why, lease.left(now, terms), terms, rng);
     }
 
     /// The place of a listed upstream; one that is new gets that of a forgotten one first.
-    fn place(&mut self, entry: &Entry) -> usize {
+    fn place(&mut self, entry: &UpstreamEntry) -> usize {
         let Fleet { names, board, .. } = &mut self.dispatcher.fleet;
         *names.entry(entry.upstream.clone()).or_insert_with(|| {
             let upstream = Upstream::new(entry, &self.dispatcher.terms);
@@ -156,10 +166,10 @@
 
     /// Against a balancer that grows with each upstream that ever was. What it has sent is kept as long as
     /// one may be cold, or an upstream that comes back would be given its part of the cold work twice.
-    fn forget(&mut self, now: Tenths) {
-        let since = now.saturating_sub(self.dispatcher.terms.cold.warm_within.max(SECOND));
+    fn forget(&mut self, now: TenthMillis) {
+        let since = now.saturating_sub(self.dispatcher.terms.cold_start.warm_up_time.max(SECOND));
         let (fleet, requests) = (&mut self.dispatcher.fleet, &self.dispatcher.queue.requests);
-        let mut old: Vec<(UpstreamId, Tenths, usize)> = self
+        let mut old: Vec<(UpstreamId, TenthMillis, usize)> = self
             .gone
             .range(..(since, 0))
             .filter(|(_, up)| fleet.board[*up].in_flight == 0)
@@ -185,10 +195,32 @@
         }
     }
 
-    /// How many upstreams, zones and kinds are remembered, and requests open: for the log.
-    pub fn sizes(&self) -> [usize; 4] {
+    /// How much state the balancer holds at the moment.
+    pub fn tracked_counts(&self) -> TrackedCounts {
         let Fleet { names, zones, kinds, .. } = &self.dispatcher.fleet;
-        [names.len(), zones.len(), kinds.len(), self.dispatcher.queue.requests.len()]
+        TrackedCounts {
+            upstreams: names.len(),
+            zones: zones.len(),
+            kinds: kinds.len(),
+            open_requests: self.dispatcher.queue.requests.len(),
+        }
+    }
+}
+
+/// The sizes of the balancer's tables, for the log and for tests of their bounds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TrackedCounts {
+    /// Upstreams that are listed or not forgotten yet.
+    pub upstreams: usize,
+    pub zones: usize,
+    /// Kinds of machines.
+    pub kinds: usize,
+    pub open_requests: usize,
+}
+
+impl fmt::Display for TrackedCounts {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "{:?}", [self.upstreams, self.zones, self.kinds, self.open_requests])
     }
 }
 
@@ -200,12 +232,12 @@
 }
 
 impl Known {
-    pub fn add(&mut self, entry: &Entry) {
+    pub fn add(&mut self, entry: &UpstreamEntry) {
         *self.zones.entry(entry.zone).or_default() += 1;
         *self.kinds.entry(entry.kind).or_default() += 1;
     }
 
-    fn remove(&mut self, entry: &Entry) {
+    fn remove(&mut self, entry: &UpstreamEntry) {
         for (counts, name) in [(&mut self.zones, entry.zone), (&mut self.kinds, entry.kind)] {
             if let Some(count) = counts.get_mut(&name) {
                 *count -= 1;
--- a/src/balance/subset.rs
+++ b/src/balance/subset.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Decaying, FEW_ANSWERS, LONG, Pace, SECOND, Upstream, Zone, mix};
-use crate::{Entry, Stage, Tenths, Terms, UpstreamId};
+use crate::{BalancerConfig, Stage, TenthMillis, UpstreamEntry, UpstreamId};
 
 /// Of the requests of ten seconds this part is the number of upstreams used, but never fewer than so many.
 const MEET: f64 = 0.15;
@@ -15,7 +15,7 @@
 const OUT_SPAN: f64 = 2.0 * SECOND as f64;
 /// Room of which a part of this is taken counts as in use and grows: less is left to what is worth least.
 const IN_USE: f64 = 0.33;
-const REPORT_FADE: Tenths = 3 * SECOND;
+const REPORT_FADE: TenthMillis = 3 * SECOND;
 
 /// Live upstreams in an order of this balancer's own, by which it takes them into use, and by place.
 pub type Ranking = BTreeSet<(u64, usize)>;
@@ -52,16 +52,21 @@
     pub room: f64,
     pub out_now: f64,
     pub out_mean: f64,
-    pub out_at: Tenths,
+    pub out_at: TenthMillis,
 }
 
 impl Fleet {
     /// Where a live upstream stands among those of the own zone or of the others.
-    pub fn rank(&mut self, up: usize, terms: &Terms, change: impl Fn(&mut Ranking, (u64, usize)) -> bool) {
+    pub fn rank(
+        &mut self,
+        up: usize,
+        terms: &BalancerConfig,
+        change: impl Fn(&mut Ranking, (u64, usize)) -> bool,
+    ) {
         let upstream = &self.board[up];
         if upstream.entry.stage == Stage::Live {
             let ranking = if upstream.entry.zone == terms.own_zone { &mut self.near } else { &mut self.far };
-            change(ranking, (mix(upstream.order ^ mix(u64::from(terms.own_number))), up));
+            change(ranking, (mix(upstream.order ^ mix(u64::from(terms.own_index))), up));
         }
     }
 
@@ -81,27 +86,27 @@
     /// Listed size by the pace of all upstreams of its kind, since each is met too seldom to know its own.
     pub fn speed(&self, up: usize) -> f64 {
         let s = &self.board[up];
-        s.entry.size * (-self.slower(self.kinds.get(&s.entry.kind))).exp()
+        s.entry.capacity * (-self.slower(self.kinds.get(&s.entry.kind))).exp()
     }
 
     /// The cost that an upstream told of, and what was sent there since; what it told fades.
-    pub fn told(&self, now: Tenths, up: usize) -> f64 {
+    pub fn told(&self, now: TenthMillis, up: usize) -> f64 {
         let s = &self.board[up];
         let level = s.reported_held.map_or(0.0, |held| held * self.mean_cost() + s.cost_since);
         Decaying { level, at: s.reported_at }.at(now, REPORT_FADE)
     }
 
     /// What is out, and its mean over the last while: a part of less than one attempt is a part of the time.
-    pub fn note_out(&mut self, now: Tenths, change: f64) {
+    pub fn note_out(&mut self, now: TenthMillis, change: f64) {
         let span = (now - self.out_at) as f64;
         self.out_mean += (self.out_now - self.out_mean) * (1.0 - (-span / OUT_SPAN).exp());
         (self.out_at, self.out_now) = (now, (self.out_now + change).max(0.0));
     }
 
     /// Each upstream is seen too seldom: the share of all that wait too long tells of a jam not to feed.
-    pub fn make_room(&mut self, late: bool, terms: &Terms) {
+    pub fn make_room(&mut self, late: bool, terms: &BalancerConfig) {
         if late {
-            self.room = (self.room * LATE_SHRINKS).max(terms.part(self.size()));
+            self.room = (self.room * LATE_SHRINKS).max(terms.own_share(self.size()));
         } else if self.out_mean >= IN_USE * self.room {
             self.room *= TIMELY_GROWS;
         }
@@ -112,7 +117,7 @@
     fn choose_subset(&mut self) {
         let Fleet { board, near, far, relisted, subset, .. } = self;
         for up in std::mem::take(relisted) {
-            let Entry { stage, size, .. } = board[up].entry;
+            let UpstreamEntry { stage, capacity: size, .. } = board[up].entry;
             board[up].counted_size = if stage == Stage::Live { size } else { 0.0 };
         }
         let all = near.len() + far.len();
@@ -130,7 +135,7 @@
     }
 
     /// Light requests get candidates by their share of the cost, in upstream sizes; both kinds get one at least.
-    pub fn choose_candidates(&mut self, now: Tenths, terms: &Terms) {
+    pub fn choose_candidates(&mut self, now: TenthMillis, terms: &BalancerConfig) {
         let met = MEET * self.arrivals.at(now, LONG);
         let by_traffic = LEAST_SUBSET.max((met as usize + 1).next_power_of_two() / 2);
         let wanted = if terms.warm_keys { usize::MAX } else { by_traffic };
@@ -139,7 +144,7 @@
             self.choose_subset();
         }
         if self.room == 0.0 {
-            self.room = terms.part(FIRST_ROOM * self.size());
+            self.room = terms.own_share(FIRST_ROOM * self.size());
         }
         let cost: f64 = self.cost_sums.iter().sum();
         let all: f64 = self.candidates.iter().map(|up| self.speed(*up)).sum();
--- a/src/event.rs
+++ b/src/event.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use crate::Tenths;
+use crate::TenthMillis;
 
 /// The id that a client gave its request.
 pub type RequestId = Rc<str>;
@@ -14,33 +14,33 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Discovery has answered, or failed to.
-    Listed(Listing),
+    ListUpdate(ListUpdate),
     /// The list was right at that time, by discovery's word, or nobody could reach discovery then. A front end that never
     /// says so is trusted to bring each change in time.
-    ListCurrent { at: Tenths },
+    ListConfirmed { at: TenthMillis },
     /// Discovery is at another address from now on.
-    DiscoveryMoved,
+    DiscoveryAddressChanged,
     /// A client has sent a request.
-    Arrived(Arrival),
+    RequestArrived(Arrival),
     /// An attempt has ended, numbered within its request from 0.
-    Ended {
+    AttemptEnded {
         request: RequestId,
         attempt: u32,
         upstream: UpstreamId,
         outcome: Outcome,
-        took: Tenths,
+        duration: TenthMillis,
         /// The request has had its final answer, by this outcome or earlier.
         answered: bool,
         load: Load,
     },
     /// The client has left; nothing is owed any more.
-    Left { request: RequestId },
+    ClientDisconnected { request: RequestId },
     /// An upstream was asked for its load.
-    Probed { upstream: UpstreamId, outcome: Outcome, took: Tenths, load: Load },
+    ProbeEnded { upstream: UpstreamId, outcome: Outcome, duration: TenthMillis, load: Load },
     /// The time of an `Action::Wake` has come.
-    Woke { token: String },
+    TimerFired { token: String },
     /// A peer's note.
-    Heard { peer: u32, note: Vec<u8> },
+    PeerMessage { peer: u32, message: Vec<u8> },
 }
 
 /// A request that has arrived.
@@ -52,40 +52,40 @@
     /// Index among the tenants of the terms.
     pub tenant: u32,
     /// What an upstream may keep warm between requests that have it in common.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
     /// The time to its deadline.
-    pub left: Tenths,
+    pub time_left: TenthMillis,
     /// The expected work, in time of a standard core.
-    pub cost: Option<Tenths>,
+    pub cost: Option<TenthMillis>,
     /// The client has sent it before.
-    pub repeat: bool,
-    pub write: bool,
+    pub is_retry: bool,
+    pub is_write: bool,
 }
 
 /// What came of asking discovery for the list of upstreams.
 #[derive(Clone, Debug)]
-pub enum Listing {
+pub enum ListUpdate {
     /// Entries that are new or other than before.
-    Changes(Rc<[Entry]>),
+    Changes(Rc<[UpstreamEntry]>),
     /// All entries.
-    Whole(Rc<[Entry]>),
+    Snapshot(Rc<[UpstreamEntry]>),
     /// The list as this balancer last held it before its start; it may be old.
-    Remembered(Rc<[Entry]>),
+    Restored(Rc<[UpstreamEntry]>),
     /// An ask was turned away, or what came is no list; the last list stays in force.
-    Lost,
+    Refused,
     /// Nobody answered an ask, or its connection broke; as above. That takes up nobody's time there.
-    Unreached,
+    Unreachable,
     /// A watch was not answered though its wait is over; as above.
-    Silent,
+    WatchTimedOut,
 }
 
 /// An upstream as the list has it.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct UpstreamEntry {
     pub upstream: UpstreamId,
     pub cell: u32,
-    pub started: Option<Tenths>,
-    pub size: f64,
+    pub started_at: Option<TenthMillis>,
+    pub capacity: f64,
     pub zone: u32,
     /// Upstreams of one kind are machines alike.
     pub kind: u32,
@@ -125,38 +125,42 @@
 /// What an upstream says of itself; late and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// How many of these wait for their turn.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Its recent time of service, waiting left out.
-    pub service: Option<Tenths>,
+    pub service_time: Option<TenthMillis>,
 }
 
 impl Load {
     /// What can't be true is left out: nothing is to be steered by it.
-    pub fn told(held: Option<f64>, waiting: Option<f64>, service_ms: Option<f64>) -> Self {
-        let sane = |value: &f64| (0.0..=MOST_TOLD).contains(value);
+    pub fn from_report(held: Option<f64>, waiting: Option<f64>, service_ms: Option<f64>) -> Self {
+        let sane = |value: &f64| (0.0..=MAX_PLAUSIBLE_REPORT).contains(value);
         let held = held.filter(sane);
         let waiting = waiting.filter(sane).filter(|waiting| held.is_none_or(|held| *waiting <= held));
-        Load { held, waiting, service: service_ms.filter(sane).map(|ms| (ms * 10.0).round() as Tenths) }
+        Load {
+            in_flight: held,
+            queued: waiting,
+            service_time: service_ms.filter(sane).map(|ms| (ms * 10.0).round() as TenthMillis),
+        }
     }
 }
 
 /// More than this nobody holds.
-const MOST_TOLD: f64 = 1e6;
+const MAX_PLAUSIBLE_REPORT: f64 = 1e6;
 
 /// As it goes on in a line of the log, empty where nothing was said.
 impl fmt::Display for Load {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        self.held.map_or(Ok(()), |held| write!(to, ", it holds {held}"))?;
-        self.waiting.map_or(Ok(()), |waiting| write!(to, ", {waiting} wait"))?;
-        self.service.map_or(Ok(()), |service| write!(to, ", it takes {service}"))
+        self.in_flight.map_or(Ok(()), |held| write!(to, ", it holds {held}"))?;
+        self.queued.map_or(Ok(()), |waiting| write!(to, ", {waiting} wait"))?;
+        self.service_time.map_or(Ok(()), |service| write!(to, ", it takes {service}"))
     }
 }
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum GiveUp {
+pub enum GiveUpReason {
     /// No upstream is listed as live.
     NoUpstream,
     /// The list has not been confirmed for so long that an upstream may have been draining for longer than the grace.
@@ -180,25 +184,30 @@
 pub enum Action {
     /// Send the request to the upstream, but not after `begin_by`, whatever it waits for by then; give the attempt up
     /// after `timeout`.
-    Attempt { request: RequestId, upstream: UpstreamId, timeout: Option<Tenths>, begin_by: Option<Tenths> },
+    Attempt {
+        request: RequestId,
+        upstream: UpstreamId,
+        timeout: Option<TenthMillis>,
+        send_by: Option<TenthMillis>,
+    },
     /// Ask an upstream for its load.
     Probe { upstream: UpstreamId },
     /// Send a note to one peer or to all.
-    Tell { peer: Option<u32>, note: Vec<u8> },
+    SendToPeer { peer: Option<u32>, message: Vec<u8> },
     /// Ask discovery for the list, and for its changes from then on.
-    Watch { on: bool },
+    WatchList { enabled: bool },
     /// Ask discovery for the whole list.
-    Refetch,
+    FetchList,
     /// Give up an attempt that is out.
     Cancel { request: RequestId, attempt: u32 },
     /// Answer that the request came to nothing, though it may have run.
-    Fail { request: RequestId, why: GiveUp },
+    Fail { request: RequestId, reason: GiveUpReason },
     /// Answer that the request has had no effect, and when the client may come again.
-    Reject { request: RequestId, cool_down: Option<Tenths>, why: GiveUp },
+    Reject { request: RequestId, retry_after: Option<TenthMillis>, reason: GiveUpReason },
     /// Close the idle connections to an upstream.
-    CloseIdle { upstream: UpstreamId },
+    CloseIdleConnections { upstream: UpstreamId },
     /// Write a line to the log.
     Log { text: String },
     /// Call again after that time, with or without events.
-    Wake { token: &'static str, after: Tenths },
+    SetTimer { token: &'static str, after: TenthMillis },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,9 +9,13 @@
 mod terms;
 mod time;
 
-pub use balance::Balancer;
+pub use balance::{Balancer, TrackedCounts};
 pub use event::{
-    Action, Arrival, Entry, Event, GiveUp, Listing, Load, Outcome, RequestId, Stage, UpstreamId,
+    Action, Arrival, Event, GiveUpReason, ListUpdate, Load, Outcome, RequestId, Stage, UpstreamEntry,
+    UpstreamId,
 };
-pub use terms::{AttemptLimits, Class, ColdTerms, Effect, Limits, Lists, Scope, Tenant, Terms, TermsChange};
-pub use time::{Tenths, ceil_from_ns, floor_from_ns, to_ns};
+pub use terms::{
+    AttemptLimits, BalancerConfig, Class, ColdStart, ConfigChange, DedupScope, Effect, Limits, ListSource,
+    Tenant,
+};
+pub use time::{TenthMillis, ns_to_tenth_millis_ceil, ns_to_tenth_millis_floor, tenth_millis_to_ns};
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -1,18 +1,18 @@
 //! The settings that the decisions read, and their changes.
 
-use crate::Tenths;
+use crate::TenthMillis;
 
 /// What a balancer is told at its start, a part of which may change later. Only what the decisions read is here.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub balancers: u32,
-    pub own_number: u32,
+pub struct BalancerConfig {
+    pub balancer_count: u32,
+    pub own_index: u32,
     pub own_zone: u32,
-    pub lists: Lists,
+    pub list_source: ListSource,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
     /// The value of a request beyond its tenant's share, as a fraction.
-    pub excess_value: f64,
+    pub over_quota_value: f64,
     /// An upstream that met a key lately has less work with it.
     pub warm_keys: bool,
     pub max_attempts: u32,
@@ -21,26 +21,26 @@
     /// Upstreams may be asked for their load.
     pub probing: bool,
     /// The longest cool-down that clients heed; none where no advice is passed on.
-    pub cool_down: Option<Tenths>,
+    pub max_retry_after: Option<TenthMillis>,
     /// How long an upstream that is told to drain still takes what was sent to it.
-    pub drain_grace: Tenths,
-    pub cold: ColdTerms,
+    pub drain_grace: TenthMillis,
+    pub cold_start: ColdStart,
 }
 
 /// How the list of upstreams comes, and from when on a change of it counts as told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lists {
+pub enum ListSource {
     /// Nobody has to ask.
-    Unasked,
+    Pushed,
     /// An agent beside the balancer has it: what that knows counts as told at once, asked for or not.
-    Agent,
+    LocalAgent,
     /// From the service of all balancers: who has not asked for so long is deemed told.
-    Asked { within: Tenths },
+    Polled { max_poll_interval: TenthMillis },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub sla: Tenths,
+    pub sla_time: TenthMillis,
     pub value: f64,
     pub effect: Effect,
 }
@@ -51,14 +51,14 @@
     Idempotent,
     /// A repeat is dropped inside the scope for as long as the mark is remembered.
     Keyed {
-        scope: Scope,
-        memory: Tenths,
+        scope: DedupScope,
+        key_ttl: TenthMillis,
     },
     NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -67,17 +67,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second within its share, over all balancers.
-    pub quota: f64,
+    pub quota_rps: f64,
 }
 
 /// A cold upstream falls over when all balancers together send it more than `multiple` of its present
 /// capacity for `window`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ColdTerms {
-    pub share: f64,
-    pub warm_within: Tenths,
-    pub multiple: f64,
-    pub window: Tenths,
+pub struct ColdStart {
+    pub initial_capacity_share: f64,
+    pub warm_up_time: TenthMillis,
+    pub collapse_load_factor: f64,
+    pub collapse_window: TenthMillis,
 }
 
 /// How one request may be attempted.
@@ -95,31 +95,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// The value of a request beyond its tenant's share, as a fraction.
-    pub excess_value: f64,
+    pub over_quota_value: f64,
     /// How one request may be attempted.
     pub attempt_limits: AttemptLimits,
     /// The longest cool-down that clients heed; none where no advice is passed on.
-    pub cool_down: Option<Tenths>,
+    pub max_retry_after: Option<TenthMillis>,
     /// How long an upstream that is told to drain still takes what was sent to it.
-    pub drain_grace: Tenths,
+    pub drain_grace: TenthMillis,
     /// When cold upstreams fall over.
-    pub cold: ColdTerms,
+    pub cold_start: ColdStart,
 }
 
 /// A change of the terms. Requests that are open end under what they came with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum TermsChange {
+pub enum ConfigChange {
     /// The class of a number is new or another one; without one, the number may be used again.
     Class {
         /// Index among the classes.
-        number: u32,
+        index: u32,
         /// What holds from now on.
         class: Option<Class>,
     },
     /// The same for a tenant.
     Tenant {
         /// Index among the tenants.
-        number: u32,
+        index: u32,
         /// What holds from now on.
         tenant: Option<Tenant>,
     },
@@ -128,22 +128,29 @@
 }
 
 /// Stands where a class was removed: a request of it has no time and no value.
-const NO_CLASS: Class = Class { sla: 0, value: 0.0, effect: Effect::NonIdempotent };
+const REMOVED_CLASS: Class = Class { sla_time: 0, value: 0.0, effect: Effect::NonIdempotent };
 /// Stands where a tenant was removed: none of its requests is beyond its share.
-const NO_TENANT: Tenant = Tenant { quota: f64::INFINITY };
+const REMOVED_TENANT: Tenant = Tenant { quota_rps: f64::INFINITY };
 
-impl Terms {
+impl BalancerConfig {
     /// Puts a change in force.
-    pub fn change(&mut self, change: &TermsChange) {
+    pub fn apply(&mut self, change: &ConfigChange) {
         match change {
-            TermsChange::Class { number, class } => {
-                set(&mut self.classes, *number, class.clone().unwrap_or(NO_CLASS), NO_CLASS);
+            ConfigChange::Class { index: number, class } => {
+                set_at(&mut self.classes, *number, class.clone().unwrap_or(REMOVED_CLASS), REMOVED_CLASS);
             }
-            TermsChange::Tenant { number, tenant } => {
-                set(&mut self.tenants, *number, tenant.clone().unwrap_or(NO_TENANT), NO_TENANT);
+            ConfigChange::Tenant { index: number, tenant } => {
+                set_at(&mut self.tenants, *number, tenant.clone().unwrap_or(REMOVED_TENANT), REMOVED_TENANT);
             }
-            TermsChange::Limits(Limits { excess_value, attempt_limits, cool_down, drain_grace, cold }) => {
-                (self.excess_value, self.cool_down, self.cold) = (*excess_value, *cool_down, cold.clone());
+            ConfigChange::Limits(Limits {
+                over_quota_value: excess_value,
+                attempt_limits,
+                max_retry_after: cool_down,
+                drain_grace,
+                cold_start: cold,
+            }) => {
+                (self.over_quota_value, self.max_retry_after, self.cold_start) =
+                    (*excess_value, *cool_down, cold.clone());
                 self.drain_grace = *drain_grace;
                 let AttemptLimits { max_attempts, hedging, cancelling } = *attempt_limits;
                 self.max_attempts = max_attempts;
@@ -154,24 +161,24 @@
     }
 
     /// The highest value of a class.
-    pub fn highest_value(&self) -> f64 {
+    pub fn max_class_value(&self) -> f64 {
         self.classes.iter().map(|class| class.value).fold(0.0, f64::max)
     }
 
     /// The limits of attempts as they are now.
     pub fn attempt_limits(&self) -> AttemptLimits {
-        let Terms { max_attempts, hedging, cancelling, .. } = *self;
+        let BalancerConfig { max_attempts, hedging, cancelling, .. } = *self;
         AttemptLimits { max_attempts, hedging, cancelling }
     }
 
     /// This balancer's part of a figure that all balancers together should keep to.
-    pub fn part(&self, whole: f64) -> f64 {
-        whole / f64::from(self.balancers.max(1))
+    pub fn own_share(&self, whole: f64) -> f64 {
+        whole / f64::from(self.balancer_count.max(1))
     }
 }
 
 /// Sets the value of a number; numbers below it that are not in use yet get `none`.
-fn set<T: Clone>(values: &mut Vec<T>, number: u32, value: T, none: T) {
+fn set_at<T: Clone>(values: &mut Vec<T>, number: u32, value: T, none: T) {
     let number = number as usize;
     if number >= values.len() {
         values.resize(number + 1, none);
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -6,24 +6,36 @@
 use helper::*;
 use pondlb::*;
 
-fn class_change(number: u32, class: Option<Class>) -> TermsChange {
-    TermsChange::Class { number, class }
+fn class_change(number: u32, class: Option<Class>) -> ConfigChange {
+    ConfigChange::Class { index: number, class }
 }
 
-fn class(sla_ms: Tenths, value: f64, effect: Effect) -> Class {
-    Class { sla: sla_ms * MS, value, effect }
+fn class(sla_ms: TenthMillis, value: f64, effect: Effect) -> Class {
+    Class { sla_time: sla_ms * MS, value, effect }
 }
 
-fn limits(change: impl Fn(&mut Limits)) -> TermsChange {
-    let Terms { excess_value, cool_down, drain_grace, cold, .. } = terms();
+fn limits(change: impl Fn(&mut Limits)) -> ConfigChange {
+    let BalancerConfig {
+        over_quota_value: excess_value,
+        max_retry_after: cool_down,
+        drain_grace,
+        cold_start: cold,
+        ..
+    } = terms();
     let attempt_limits = terms().attempt_limits();
-    let mut limits = Limits { excess_value, attempt_limits, cool_down, drain_grace, cold };
+    let mut limits = Limits {
+        over_quota_value: excess_value,
+        attempt_limits,
+        max_retry_after: cool_down,
+        drain_grace,
+        cold_start: cold,
+    };
     change(&mut limits);
-    TermsChange::Limits(limits)
+    ConfigChange::Limits(limits)
 }
 
 /// Two upstreams that have answered for a while.
-fn served() -> (Play, Tenths) {
+fn served() -> (Play, TenthMillis) {
     let mut play = Play::new(terms());
     play.at(0, [list("a b")]);
     let now = play.warm_up(64);
@@ -35,7 +47,7 @@
 }
 
 /// Fails the only attempt of a request.
-fn fail(play: &mut Play, ms: Tenths, id: &str, upstream: &str) {
+fn fail(play: &mut Play, ms: TenthMillis, id: &str, upstream: &str) {
     play.at(ms, [ended(id, 0, upstream, Outcome::Error, 5)]);
 }
 
@@ -140,7 +152,13 @@
     play.sent_to(now, request("before", 0));
     play.change(&[limits(|limits| limits.attempt_limits.cancelling = false)]);
     play.sent_to(now + 1, request("after", 0));
-    play.at(now + 5, [Event::Left { request: "before".into() }, Event::Left { request: "after".into() }]);
+    play.at(
+        now + 5,
+        [
+            Event::ClientDisconnected { request: "before".into() },
+            Event::ClientDisconnected { request: "after".into() },
+        ],
+    );
     expect![[r#"
         1600: post before to a
         1601: post after to b
@@ -153,7 +171,7 @@
 fn advice_to_come_back_later_follows_the_limits_at_once() {
     let mut play = Play::new(terms());
     play.at(0, [request("with", 1)]);
-    play.change(&[limits(|limits| limits.cool_down = None)]);
+    play.change(&[limits(|limits| limits.max_retry_after = None)]);
     play.at(1, [request("without", 1)]);
     expect![[r#"
         0: decline with, with advice
@@ -164,7 +182,7 @@
 
 /// A long request is rejected on arrival where others are worth much more than it.
 fn long(id: &str, tenant: u32) -> Event {
-    Event::Arrived(Arrival { tenant, cost: Some(1800 * MS), ..arrival(id, 0) })
+    Event::RequestArrived(Arrival { tenant, cost: Some(1800 * MS), ..arrival(id, 0) })
 }
 
 fn rejected(play: &Play) -> usize {
@@ -173,11 +191,12 @@
 
 /// How many of four long requests at once are beyond their tenant's share, after a change of it.
 fn beyond_share(tenant: Option<Tenant>) -> usize {
-    let terms = Terms { excess_value: 0.1, tenants: vec![Tenant { quota: 1000.0 }], ..terms() };
+    let terms =
+        BalancerConfig { over_quota_value: 0.1, tenants: vec![Tenant { quota_rps: 1000.0 }], ..terms() };
     let mut play = Play::new(terms);
     play.at(0, [list("a b c d e f g h")]);
     let now = play.warm_up(64);
-    play.change(&[TermsChange::Tenant { number: 0, tenant }]);
+    play.change(&[ConfigChange::Tenant { index: 0, tenant }]);
     // None of the warm-up's are within the last second.
     play.at(now + 10_000, (0..4).map(|n| long(&format!("t{n}"), 0)));
     rejected(&play)
@@ -186,18 +205,18 @@
 #[test]
 fn a_tenants_share_is_another_one_from_the_change_on() {
     let quotas = [Some(1000.0), Some(3.0), Some(0.0), None];
-    let counts = quotas.map(|quota| beyond_share(quota.map(|quota| Tenant { quota })));
+    let counts = quotas.map(|quota| beyond_share(quota.map(|quota| Tenant { quota_rps: quota })));
     expect!["[0, 1, 3, 0]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
 fn a_tenant_that_is_added_has_its_share() {
-    let mut play = Play::new(Terms { excess_value: 0.1, ..terms() });
+    let mut play = Play::new(BalancerConfig { over_quota_value: 0.1, ..terms() });
     play.at(0, [list("a b c d e f g h")]);
     let now = play.warm_up(64);
     // Unknown until then, and so never beyond a share.
     play.at(now, (0..3).map(|n| long(&format!("unknown{n}"), 5)));
-    play.change(&[TermsChange::Tenant { number: 5, tenant: Some(Tenant { quota: 1.0 }) }]);
+    play.change(&[ConfigChange::Tenant { index: 5, tenant: Some(Tenant { quota_rps: 1.0 }) }]);
     play.at(now + 1, (0..3).map(|n| long(&format!("known{n}"), 5)));
     expect![[r#"
         1600: post unknown0 to b
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -14,9 +14,9 @@
     let mut play = Play::new(terms());
     play.at(0, [list("a")]);
     let mut soon = arrival("soon", 0);
-    soon.left = 300 * MS;
+    soon.time_left = 300 * MS;
     play.at(1, (0..4).map(|n| request(&format!("t{n}"), 1)));
-    play.at(2, [request("later", 1), Event::Arrived(soon)]);
+    play.at(2, [request("later", 1), Event::RequestArrived(soon)]);
     play.at(22, [ended("t0", 0, "a", Outcome::Ok, 21)]);
     play.at(23, [ended("t1", 0, "a", Outcome::Ok, 22)]);
     expect![[r#"
@@ -101,7 +101,7 @@
     let up = play.sent_to(0, request("t", 0));
     play.at(1000, [ended("t", 0, &up, Outcome::TimedOut, 1000)]);
     play.at(1000, [ended("t", 1, "b", Outcome::Cancelled, 10)]);
-    play.at(5000, [Event::Left { request: "t".into() }]);
+    play.at(5000, [Event::ClientDisconnected { request: "t".into() }]);
     expect![[r#"
         0: post t to a
         1000: decline t, with advice
@@ -114,7 +114,13 @@
     let mut play = Play::new(terms());
     play.at(0, [list("a")]);
     play.at(0, (0..5).map(|n| request(&format!("t{n}"), 0)));
-    play.at(1, [Event::Left { request: "t4".into() }, Event::Left { request: "t0".into() }]);
+    play.at(
+        1,
+        [
+            Event::ClientDisconnected { request: "t4".into() },
+            Event::ClientDisconnected { request: "t0".into() },
+        ],
+    );
     play.at(2, [ended("t0", 0, "a", Outcome::Cancelled, 2), ended("t1", 0, "a", Outcome::Ok, 2)]);
     expect![[r#"
         0: post t0 to a
@@ -130,8 +136,8 @@
 fn drained_and_missing_upstreams_get_nothing_and_an_empty_list_rejects_at_once() {
     let mut play = Play::new(terms());
     play.at(0, [list("a b c")]);
-    let drains = Entry { stage: Stage::Draining, ..entry("a", 0) };
-    play.at(1, [Event::Listed(Listing::Changes([drains].into())), request("t0", 0), request("t1", 0)]);
+    let drains = UpstreamEntry { stage: Stage::Draining, ..entry("a", 0) };
+    play.at(1, [Event::ListUpdate(ListUpdate::Changes([drains].into())), request("t0", 0), request("t1", 0)]);
     play.at(2, [list("c"), request("t2", 0), request("t3", 0)]);
     play.at(3, [list(""), request("t4", 0), request("t5", 1)]);
     expect![[r#"
@@ -150,7 +156,7 @@
     for took in [100, 350] {
         let mut play = Play::new(terms());
         let zones = [entry("a0", 0), entry("b0", 0), entry("c1", 1), entry("d1", 1)];
-        play.at(0, [Event::Listed(Listing::Whole(zones.into()))]);
+        play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(zones.into()))]);
         let up = play.sent_to(0, request("t", 2));
         play.at(took, [ended("t", 0, &up, Outcome::Error, took)]);
         play.at(500, []);
@@ -175,7 +181,7 @@
 #[test]
 fn a_keyed_request_whose_time_to_be_repeated_runs_out_while_it_is_held_is_given_up_then() {
     let mut play = Play::new(terms());
-    play.at(0, [Event::Listed(Listing::Whole([entry("a0", 0), entry("c1", 1)].into()))]);
+    play.at(0, [Event::ListUpdate(ListUpdate::Snapshot([entry("a0", 0), entry("c1", 1)].into()))]);
     let ids = ["t0", "t1", "t2", "t3"];
     let ups: Vec<String> = (0..).zip(ids).map(|(n, id)| play.sent_to(n, request(id, 2))).collect();
     for (id, up) in ids.iter().zip(&ups) {
@@ -201,8 +207,8 @@
     let mut play = Play::new(terms());
     play.at(0, [list("a b")]);
     let now = play.warm_up(100);
-    let cold = Entry { started: Some(now * MS), ..entry("cold", 0) };
-    play.at(now, [Event::Listed(Listing::Changes([cold].into()))]);
+    let cold = UpstreamEntry { started_at: Some(now * MS), ..entry("cold", 0) };
+    play.at(now, [Event::ListUpdate(ListUpdate::Changes([cold].into()))]);
     let mut to_cold = 0;
     for n in 0..200 {
         let id = format!("t{n}");
@@ -218,11 +224,12 @@
 fn a_thousand_balancers_together_send_a_cold_upstream_no_more_than_it_bears() {
     let mut windows = [0; 10];
     for seed in 0..1000 {
-        let mut play = Play::seeded(Terms { balancers: 1000, own_number: seed as u32, ..terms() }, seed);
+        let mut play =
+            Play::seeded(BalancerConfig { balancer_count: 1000, own_index: seed as u32, ..terms() }, seed);
         play.at(0, [list("a b c d")]);
         let now = play.warm_up(16);
-        let cold = Entry { started: Some(now * MS), ..entry("cold", 0) };
-        play.at(now, [Event::Listed(Listing::Changes([cold].into()))]);
+        let cold = UpstreamEntry { started_at: Some(now * MS), ..entry("cold", 0) };
+        play.at(now, [Event::ListUpdate(ListUpdate::Changes([cold].into()))]);
         for n in 0..20 {
             let (at, id) = (now + 500 * n + seed % 500, format!("t{n}"));
             let up = play.sent_to(at, request(&id, 0));
@@ -240,7 +247,7 @@
 /// slow that it is hedged. The window with most beyond what the settings allow at its start, N, beside 2 x root of N + 2.
 fn sent_to_a_cold_one_by(balancers: u64) -> String {
     let known = |seed| {
-        let terms = Terms { balancers: balancers as u32, own_number: seed as u32, ..terms() };
+        let terms = BalancerConfig { balancer_count: balancers as u32, own_index: seed as u32, ..terms() };
         let mut play = Play::seeded(terms, seed);
         let names: Vec<String> = (0..10).map(|n| format!("u{n}")).collect();
         play.at(0, [list(&names.join(" "))]);
@@ -254,12 +261,12 @@
     let (mut next, mut sent) = (0, Vec::new());
     for now in 0..start + 12_000 {
         if now == start {
-            let cold = Entry { started: Some(now * MS), ..entry("cold", 0) };
+            let cold = UpstreamEntry { started_at: Some(now * MS), ..entry("cold", 0) };
             for (n, play) in plays.iter_mut().enumerate() {
                 if n % 3 == 1 {
                     *play = known(n as u64);
                 }
-                play.at(now, [Event::Listed(Listing::Changes([cold.clone()].into()))]);
+                play.at(now, [Event::ListUpdate(ListUpdate::Changes([cold.clone()].into()))]);
             }
             due.retain(|_, (n, _)| *n % 3 != 1);
         }
@@ -284,7 +291,7 @@
                 next += 1;
                 match action {
                     Action::Attempt { request, upstream, .. } => {
-                        let of_it = |event: &Option<Event>| matches!(event, Some(Event::Ended { request: t, .. }) if *t == request);
+                        let of_it = |event: &Option<Event>| matches!(event, Some(Event::AttemptEnded { request: t, .. }) if *t == request);
                         let hedge = due.values().any(|(_, event)| of_it(event));
                         let took = if !hedge && next % 20 == 0 { 600 } else { 20 };
                         let end = ended(&request, u32::from(hedge), &upstream, Outcome::Ok, took);
@@ -296,9 +303,9 @@
                         }
                     }
                     Action::Cancel { request, attempt } => {
-                        let given_up = |event: &Option<Event>| matches!(event, Some(Event::Ended { request: t, attempt: p, .. }) if *t == request && *p == attempt);
+                        let given_up = |event: &Option<Event>| matches!(event, Some(Event::AttemptEnded { request: t, attempt: p, .. }) if *t == request && *p == attempt);
                         let out = due.iter().find(|(_, (_, event))| given_up(event)).map(|(key, _)| *key);
-                        if let Some((n, Some(Event::Ended { upstream, .. }))) =
+                        if let Some((n, Some(Event::AttemptEnded { upstream, .. }))) =
                             out.and_then(|key| due.remove(&key))
                         {
                             let end = ended(&request, attempt, &upstream, Outcome::Cancelled, 1);
@@ -337,7 +344,7 @@
 
 #[test]
 fn where_two_may_not_be_out_the_first_ends_at_tp() {
-    let mut play = Play::new(Terms { hedging: false, ..terms() });
+    let mut play = Play::new(BalancerConfig { hedging: false, ..terms() });
     play.at(0, [list("a b")]);
     let now = play.warm_up(64);
     let up = play.sent_to(now, request("t", 0));
@@ -373,7 +380,7 @@
 
 #[test]
 fn a_jam_lowers_the_caps_to_one_attempt_for_each_upstream() {
-    let mut play = Play::new(Terms { balancers: 4, ..terms() });
+    let mut play = Play::new(BalancerConfig { balancer_count: 4, ..terms() });
     play.at(0, [list("a b c d")]);
     for n in 0..40 {
         let id = format!("t{n}");
@@ -399,7 +406,7 @@
     play.at(0, [list("a b")]);
     let now = play.warm_up(64);
     let heavy = Arrival { cost: Some(120 * MS), ..arrival("heavy", 0) };
-    play.at(now, [Event::Arrived(heavy)]);
+    play.at(now, [Event::RequestArrived(heavy)]);
     play.at(now + 100, []);
     play.at(now + 300, []);
     expect![[r#"
@@ -426,14 +433,14 @@
 
 #[test]
 fn in_a_jam_a_tenant_above_its_share_gives_way_first() {
-    let tenants = vec![Tenant { quota: 40.0 }, Tenant { quota: 1.0 }];
-    let mut play = Play::new(Terms { tenants, excess_value: 0.1, ..terms() });
+    let tenants = vec![Tenant { quota_rps: 40.0 }, Tenant { quota_rps: 1.0 }];
+    let mut play = Play::new(BalancerConfig { tenants, over_quota_value: 0.1, ..terms() });
     play.at(0, [list("a")]);
     let now = play.warm_up(64);
     for n in 0..12 {
         for tenant in [0, 1] {
             let big = Arrival { tenant, cost: Some(60 * MS), ..arrival(&format!("of{tenant}-{n}"), 1) };
-            play.at(now, [Event::Arrived(big)]);
+            play.at(now, [Event::RequestArrived(big)]);
         }
     }
     expect![[r#"
@@ -469,9 +476,10 @@
 fn balancers_that_share_nothing_send_a_key_to_the_same_upstream() {
     let mut trace = String::new();
     for seed in [1, 2, 3] {
-        let mut balancer = Balancer::new(Terms { warm_keys: true, ..terms() }, seed);
+        let mut balancer = Balancer::new(BalancerConfig { warm_keys: true, ..terms() }, seed);
         let mut actions = Vec::new();
-        let keyed = |id: &str, key| Event::Arrived(Arrival { key: Some(key), ..arrival(id, 0) });
+        let keyed =
+            |id: &str, key| Event::RequestArrived(Arrival { affinity_key: Some(key), ..arrival(id, 0) });
         balancer.handle(0, [list("a b c d"), keyed("t5", 5), keyed("t6", 6), keyed("t9", 9)], &mut actions);
         for action in actions {
             if let Action::Attempt { request, upstream, .. } = action {
@@ -518,8 +526,8 @@
     assert_eq!(play(), play());
 }
 
-fn fleet(count: u32) -> Vec<Entry> {
-    (0..count).map(|n| Entry { zone: n % 3, kind: n % 2, ..entry(&format!("u{n}"), 0) }).collect()
+fn fleet(count: u32) -> Vec<UpstreamEntry> {
+    (0..count).map(|n| UpstreamEntry { zone: n % 3, kind: n % 2, ..entry(&format!("u{n}"), 0) }).collect()
 }
 
 #[test]
@@ -527,9 +535,11 @@
     let mut users = std::collections::BTreeMap::<String, usize>::new();
     let mut subsets = std::collections::BTreeSet::new();
     for number in 0..200 {
-        let mut play =
-            Play::seeded(Terms { balancers: 200, own_number: number, own_zone: number / 67, ..terms() }, 7);
-        play.at(0, [Event::Listed(Listing::Whole(fleet(50).into()))]);
+        let mut play = Play::seeded(
+            BalancerConfig { balancer_count: 200, own_index: number, own_zone: number / 67, ..terms() },
+            7,
+        );
+        play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(fleet(50).into()))]);
         let mut met = std::collections::BTreeSet::new();
         for n in 0..60 {
             let id = format!("t{n}");
@@ -546,9 +556,9 @@
 }
 
 /// To the slower half, of each hundred requests, where odd upstreams take 60 ms and the others a quarter or a half.
-fn to_slow_half(fleet: Vec<Entry>, fast_ms: Tenths) -> String {
-    let mut play = Play::new(Terms { balancers: 1000, ..terms() });
-    play.at(0, [Event::Listed(Listing::Whole(fleet.into()))]);
+fn to_slow_half(fleet: Vec<UpstreamEntry>, fast_ms: TenthMillis) -> String {
+    let mut play = Play::new(BalancerConfig { balancer_count: 1000, ..terms() });
+    play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(fleet.into()))]);
     let mut to_slow = [0, 0];
     for n in 0..200 {
         let id = format!("t{n}");
@@ -568,15 +578,16 @@
 
 #[test]
 fn a_listed_size_that_is_right_counts_once() {
-    let sized = |entry: Entry| Entry { size: if entry.kind == 1 { 3.0 } else { 6.0 }, ..entry };
+    let sized =
+        |entry: UpstreamEntry| UpstreamEntry { capacity: if entry.kind == 1 { 3.0 } else { 6.0 }, ..entry };
     expect!["[3, 0] of each hundred to the slow half"]
         .assert_eq(&to_slow_half(fleet(50).into_iter().map(sized).collect(), 30));
 }
 
 /// What becomes of light requests after two dozen dear ones waited long, and others tell of no wait.
-fn after_long_waits(terms: Terms) -> String {
-    let mut play = Play::new(Terms { balancers: 100, ..terms });
-    play.at(0, [Event::Listed(Listing::Whole(fleet(50).into()))]);
+fn after_long_waits(terms: BalancerConfig) -> String {
+    let mut play = Play::new(BalancerConfig { balancer_count: 100, ..terms });
+    play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(fleet(50).into()))]);
     let told_by_all = || (0..50).map(|n| told(&format!("u{n}"), Outcome::Ok, 0.0, 0.0));
     for n in 0..24 {
         let id = format!("w{n}");
@@ -585,7 +596,7 @@
         play.at(n * 2500 + 330, [ended(&id, 0, &up, Outcome::Ok, 300)]);
     }
     play.trace.clear();
-    let light = |id: &str| Event::Arrived(Arrival { cost: Some(15 * MS), ..arrival(id, 1) });
+    let light = |id: &str| Event::RequestArrived(Arrival { cost: Some(15 * MS), ..arrival(id, 1) });
     play.at(60_000, ["t0", "t1", "t2", "t3", "t4", "t5"].map(light));
     let six = play.trace.matches(": post t").count();
     play.trace.clear();
@@ -614,7 +625,12 @@
 #[test]
 fn the_smallest_cap_is_this_balancers_part_of_the_listed_size() {
     let mut play = Play::new(terms());
-    play.at(0, [Event::Listed(Listing::Whole([Entry { size: 3.0, ..entry("big", 0) }].into()))]);
+    play.at(
+        0,
+        [Event::ListUpdate(ListUpdate::Snapshot(
+            [UpstreamEntry { capacity: 3.0, ..entry("big", 0) }].into(),
+        ))],
+    );
     for n in 0..12 {
         let id = format!("w{n}");
         play.at(n * 1000, [request(&id, 1)]);
@@ -623,7 +639,7 @@
     play.trace.clear();
     play.at(
         20_000,
-        (0..5).map(|n| Event::Arrived(Arrival { cost: Some(MS), ..arrival(&format!("t{n}"), 1) })),
+        (0..5).map(|n| Event::RequestArrived(Arrival { cost: Some(MS), ..arrival(&format!("t{n}"), 1) })),
     );
     expect![[r#"
         20000: post t0 to big
@@ -644,7 +660,7 @@
     for n in 0..96 {
         let cost = if n / 12 % 2 == 0 { 40 * MS } else { MS / 2 };
         let arrived = Arrival { cost: Some(cost), ..arrival(&format!("w{n}"), 0) };
-        play.at(n * 60, [Event::Arrived(arrived)]);
+        play.at(n * 60, [Event::RequestArrived(arrived)]);
         let took = 10 + cost / MS;
         play.at(n * 60 + took, [ended(&format!("w{n}"), 0, "a", Outcome::Ok, took)]);
     }
@@ -715,9 +731,9 @@
 fn an_attempt_over_a_long_way_is_overdue_later() {
     let mut play = Play::new(terms());
     let (near, far) = (entry("near", 0), entry("far", 1));
-    let whole = |entries: &[Entry]| Event::Listed(Listing::Whole(entries.into()));
-    let small = |id: &str| Event::Arrived(Arrival { cost: Some(MS / 2), ..arrival(id, 0) });
-    let away = |entry: &Entry| Entry { stage: Stage::Draining, ..entry.clone() };
+    let whole = |entries: &[UpstreamEntry]| Event::ListUpdate(ListUpdate::Snapshot(entries.into()));
+    let small = |id: &str| Event::RequestArrived(Arrival { cost: Some(MS / 2), ..arrival(id, 0) });
+    let away = |entry: &UpstreamEntry| UpstreamEntry { stage: Stage::Draining, ..entry.clone() };
     for n in 0..400 {
         // First the one alone, then the other.
         let (list, up, took) = if n < 40 {
@@ -750,7 +766,7 @@
 
 #[test]
 fn the_last_of_the_room_is_kept_for_what_is_worth_more() {
-    let mut terms = Terms { balancers: 100, ..terms() };
+    let mut terms = BalancerConfig { balancer_count: 100, ..terms() };
     terms.classes[1].value = 8.0;
     let mut play = Play::new(terms);
     play.at(0, [list("a b c d")]);
@@ -784,7 +800,8 @@
     let mut play = Play::new(terms);
     play.at(0, [list("a b c d")]);
     let now = play.warm_up(64);
-    let long = |id, class, cost| Event::Arrived(Arrival { cost: Some(cost * MS), ..arrival(id, class) });
+    let long =
+        |id, class, cost| Event::RequestArrived(Arrival { cost: Some(cost * MS), ..arrival(id, class) });
     play.at(now, [long("short", 0, 700), long("long", 0, 1800)]);
     play.at(now, [long("dear", 1, 1800)]);
     let first = std::mem::take(&mut play.trace);
@@ -811,7 +828,7 @@
         let (id, at, heavy) = (format!("t{n}"), n * 60, n.is_multiple_of(4));
         let took = if heavy { 40 } else { 4 };
         let request = Arrival { cost: Some(took * MS), ..arrival(&id, 0) };
-        let up = play.sent_to(at, Event::Arrived(request));
+        let up = play.sent_to(at, Event::RequestArrived(request));
         play.at(at + 40, [ended(&id, 0, &up, Outcome::Ok, took)]);
         (heavy, up)
     };
@@ -823,9 +840,10 @@
     let shared = |count, k| {
         let mut play = Play::new(terms());
         // Sizes whose sum depends on the order in which they are added.
-        let sized = |(n, entry)| Entry { size: 1.0 + f64::from((n * 7 + k * 3) % 10) / 10.0, ..entry };
+        let sized =
+            |(n, entry)| UpstreamEntry { capacity: 1.0 + f64::from((n * 7 + k * 3) % 10) / 10.0, ..entry };
         let all = (0..).zip(fleet(count)).map(sized);
-        play.at(0, [Event::Listed(Listing::Whole(all.collect()))]);
+        play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(all.collect()))]);
         let mut met = [std::collections::BTreeSet::new(), std::collections::BTreeSet::new()];
         for (heavy, up) in light_and_heavy(&mut play, 400).into_iter().skip(100) {
             met[usize::from(heavy)].insert(up);
@@ -842,9 +860,9 @@
     let mut users = std::collections::BTreeMap::<String, usize>::new();
     let mut crossing = [0, 0];
     for number in 0..90 {
-        let terms = Terms { balancers: 90, own_number: number, own_zone: number % 3, ..terms() };
+        let terms = BalancerConfig { balancer_count: 90, own_index: number, own_zone: number % 3, ..terms() };
         let mut play = Play::seeded(terms, u64::from(number));
-        play.at(0, [Event::Listed(Listing::Whole(fleet(60).into()))]);
+        play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(fleet(60).into()))]);
         let mut used = std::collections::BTreeSet::new();
         for (heavy, up) in light_and_heavy(&mut play, 200) {
             crossing[usize::from(heavy)] += usize::from(up[1..].parse::<u32>().unwrap() % 3 != number % 3);
@@ -863,16 +881,16 @@
 
 #[test]
 fn long_lists_in_pieces_twice_and_emptied_leave_nothing_sent_to_what_is_gone() {
-    let mut play = Play::new(Terms { balancers: 100, ..terms() });
+    let mut play = Play::new(BalancerConfig { balancer_count: 100, ..terms() });
     let all = fleet(600);
-    play.at(0, [Event::Listed(Listing::Remembered(all.clone().into()))]);
+    play.at(0, [Event::ListUpdate(ListUpdate::Restored(all.clone().into()))]);
     // In pieces, backwards, and each of them twice.
     for piece in all.chunks(50).rev() {
-        let piece = || Event::Listed(Listing::Changes(piece.to_vec().into()));
+        let piece = || Event::ListUpdate(ListUpdate::Changes(piece.to_vec().into()));
         play.at(1, [piece(), piece()]);
     }
-    let gone = |entry: &Entry| Entry { stage: Stage::Gone, ..entry.clone() };
-    play.at(2, [Event::Listed(Listing::Changes(all[30..].iter().map(gone).collect()))]);
+    let gone = |entry: &UpstreamEntry| UpstreamEntry { stage: Stage::Gone, ..entry.clone() };
+    play.at(2, [Event::ListUpdate(ListUpdate::Changes(all[30..].iter().map(gone).collect()))]);
     let mut sent = std::collections::BTreeSet::new();
     for n in 0..300 {
         let (id, at) = (format!("t{n}"), 100 + n * 50);
@@ -906,26 +924,26 @@
         }
         used
     };
-    let gone = |name: &str| Entry { stage: Stage::Gone, ..entry(name, 0) };
+    let gone = |name: &str| UpstreamEntry { stage: Stage::Gone, ..entry(name, 0) };
     let (mut users, mut moved, mut came, mut smallest) = (0, 0, 0, usize::MAX);
     for number in 0..30 {
-        let terms = Terms { balancers: 30, own_number: number, ..terms() };
+        let terms = BalancerConfig { balancer_count: 30, own_index: number, ..terms() };
         let mut play = Play::seeded(terms, u64::from(number));
         let names: Vec<String> = (0..40).map(|n| format!("u{n}")).collect();
         play.at(0, [list(&names.join(" "))]);
         let before = used(&mut play, 10);
-        play.at(20_000, [Event::Listed(Listing::Changes([gone("u5")].into()))]);
+        play.at(20_000, [Event::ListUpdate(ListUpdate::Changes([gone("u5")].into()))]);
         let after = used(&mut play, 20_010);
         users += usize::from(before.contains("u5"));
         moved += after.difference(&before).count();
         let few = [entry("w0", 0), entry("w1", 0)];
-        play.at(40_000, [Event::Listed(Listing::Changes(few.into()))]);
+        play.at(40_000, [Event::ListUpdate(ListUpdate::Changes(few.into()))]);
         let joined = used(&mut play, 40_010);
         came += joined.difference(&after).filter(|up| !up.starts_with('w')).count();
         // Six in ten are replaced.
         let left = names[..24].iter().map(|name| gone(name));
         let new = (0..24).map(|n| entry(&format!("v{n}"), 0));
-        play.at(60_000, [Event::Listed(Listing::Changes(left.chain(new).collect()))]);
+        play.at(60_000, [Event::ListUpdate(ListUpdate::Changes(left.chain(new).collect()))]);
         smallest = smallest.min(used(&mut play, 60_010).len());
     }
     expect!["6 of 30 used the lost one, 6 others came into use then, 0 when two joined; the smallest circle after the replacement has 8"].assert_eq(&format!(
@@ -938,10 +956,10 @@
 fn a_small_own_zone_makes_up_a_small_part_of_the_subset() {
     let mut near = std::collections::BTreeSet::new();
     for number in 0..30 {
-        let terms = Terms { balancers: 60, own_number: number, ..terms() };
+        let terms = BalancerConfig { balancer_count: 60, own_index: number, ..terms() };
         let mut play = Play::seeded(terms, u64::from(number));
         let all = (0..60).map(|n| entry(&format!("u{n}"), u32::from(n >= 12)));
-        play.at(0, [Event::Listed(Listing::Whole(all.collect()))]);
+        play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(all.collect()))]);
         let mut used = std::collections::BTreeSet::new();
         for n in 0..150 {
             let (id, at) = (format!("t{n}"), n * 110);
@@ -956,10 +974,10 @@
 }
 
 /// Lists four upstreams in each of two zones and has both zones answer for a while.
-fn two_zones() -> (Play, Tenths) {
-    let mut play = Play::new(Terms { cancelling: false, ..terms() });
+fn two_zones() -> (Play, TenthMillis) {
+    let mut play = Play::new(BalancerConfig { cancelling: false, ..terms() });
     let all = (0..8).map(|n| entry(&format!("{}{n}", ["a", "b"][n as usize / 4]), n / 4));
-    play.at(0, [Event::Listed(Listing::Whole(all.collect()))]);
+    play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(all.collect()))]);
     let now = play.warm_up(200);
     (play, now)
 }
@@ -1050,15 +1068,15 @@
     let (mut sizes, mut actions) = (Vec::new(), Vec::new());
     // Each minute one of twelve is replaced, told as changes, in a zone and of a kind never seen before.
     for n in 0..3000u32 {
-        let now = Tenths::from(n) * 60_000 * MS;
-        let gone = Entry {
+        let now = TenthMillis::from(n) * 60_000 * MS;
+        let gone = UpstreamEntry {
             stage: Stage::Gone,
             ..entry(&format!("u{}", n.saturating_sub(12)), n.saturating_sub(12))
         };
-        let new = Entry { kind: n, ..entry(&format!("u{n}"), n) };
+        let new = UpstreamEntry { kind: n, ..entry(&format!("u{n}"), n) };
         balancer.handle(
             now,
-            [Event::Listed(Listing::Changes([gone, new].into())), request(&format!("t{n}"), 0)],
+            [Event::ListUpdate(ListUpdate::Changes([gone, new].into())), request(&format!("t{n}"), 0)],
             &mut actions,
         );
         for action in std::mem::take(&mut actions) {
@@ -1072,7 +1090,7 @@
         }
         actions.clear();
         if n == 300 || n == 2999 {
-            sizes.push(format!("{:?}", balancer.sizes()));
+            sizes.push(balancer.tracked_counts().to_string());
         }
     }
     expect!["upstreams, zones, kinds, txns: [13, 17, 17, 0] then [13, 25, 25, 0]"]
@@ -1080,16 +1098,16 @@
 }
 
 /// Non-idempotent and keyed within the cell, no hedges, upstreams may be asked.
-fn asking() -> Terms {
-    let class = |effect| Class { sla: 400 * MS, value: 1.0, effect };
-    let cell = Effect::Keyed { scope: Scope::Cell, memory: 300 * MS };
+fn asking() -> BalancerConfig {
+    let class = |effect| Class { sla_time: 400 * MS, value: 1.0, effect };
+    let cell = Effect::Keyed { scope: DedupScope::Cell, key_ttl: 300 * MS };
     let classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent), class(cell)];
-    Terms { classes, hedging: false, probing: true, balancers: 100, ..terms() }
+    BalancerConfig { classes, hedging: false, probing: true, balancer_count: 100, ..terms() }
 }
 
 fn told(upstream: &str, outcome: Outcome, held: f64, waiting: f64) -> Event {
-    let load = Load::told(Some(held), Some(waiting), None);
-    Event::Probed { upstream: upstream.into(), outcome, took: MS, load }
+    let load = Load::from_report(Some(held), Some(waiting), None);
+    Event::ProbeEnded { upstream: upstream.into(), outcome, duration: MS, load }
 }
 
 #[test]
@@ -1098,7 +1116,7 @@
     play.at(0, [list("a b")]);
     let mut light = arrival("light", 1);
     light.cost = Some(MS);
-    play.at(200, [request("t", 1), Event::Arrived(light)]);
+    play.at(200, [request("t", 1), Event::RequestArrived(light)]);
     play.at(205, [told("a", Outcome::Ok, 9.0, 8.0)]);
     play.at(210, [told("b", Outcome::Ok, 1.0, 0.0)]);
     // One that answers nothing is not waited for.
@@ -1122,11 +1140,12 @@
 
 #[test]
 fn a_request_too_long_for_the_slow_is_not_drawn_there_while_nobody_is_busy() {
-    let mut play = Play::new(Terms { warm_keys: true, ..asking() });
-    let sized = |n: u32| Entry { size: if n < 6 { 1.0 } else { 4.0 }, ..entry(&format!("u{n}"), 0) };
-    play.at(0, [Event::Listed(Listing::Whole((0..8).map(sized).collect()))]);
-    let long = Arrival { cost: Some(500 * MS), key: Some(1), ..arrival("long", 1) };
-    play.at(200, [Event::Arrived(long)]);
+    let mut play = Play::new(BalancerConfig { warm_keys: true, ..asking() });
+    let sized =
+        |n: u32| UpstreamEntry { capacity: if n < 6 { 1.0 } else { 4.0 }, ..entry(&format!("u{n}"), 0) };
+    play.at(0, [Event::ListUpdate(ListUpdate::Snapshot((0..8).map(sized).collect()))]);
+    let long = Arrival { cost: Some(500 * MS), affinity_key: Some(1), ..arrival("long", 1) };
+    play.at(200, [Event::RequestArrived(long)]);
     expect![[r#"
         200: Probe { upstream: "u7" }
         200: Probe { upstream: "u6" }
@@ -1169,8 +1188,8 @@
         let at = 100_000 * (n as u64 + 1);
         for (step, outcome) in (0..).zip([Outcome::Error, Outcome::Reset, Outcome::Full]) {
             let (at, id) = (at + 20_000 * step, format!("{name} {outcome:?}"));
-            let short = Arrival { left: 30 * MS, cost: Some(MS), ..arrival(&id, n as u32) };
-            assert_eq!(play.sent_to(at, Event::Arrived(short)), "a");
+            let short = Arrival { time_left: 30 * MS, cost: Some(MS), ..arrival(&id, n as u32) };
+            assert_eq!(play.sent_to(at, Event::RequestArrived(short)), "a");
             play.trace.clear();
             play.at(at + 30, [ended(&id, 0, "a", outcome, 30)]);
             trace += &play.trace;
@@ -1204,14 +1223,18 @@
     play.at(200, [request("t", 1), told("nobody", Outcome::Ok, 1.0, 0.0)]);
     play.at(205, [told("a", Outcome::Ok, f64::NAN, -1.0), told("b", Outcome::Ok, 3.0, 1.0)]);
     play.at(206, [told("b", Outcome::Ok, 3.0, 1.0), told("b", Outcome::TimedOut, 0.0, 0.0)]);
-    let replaced = Entry { started: Some(250 * MS), ..entry("b", 0) };
-    play.at(300, [Event::Listed(Listing::Changes([replaced].into())), told("b", Outcome::Ok, 1e300, 0.0)]);
+    let replaced = UpstreamEntry { started_at: Some(250 * MS), ..entry("b", 0) };
+    play.at(
+        300,
+        [Event::ListUpdate(ListUpdate::Changes([replaced].into())), told("b", Outcome::Ok, 1e300, 0.0)],
+    );
     play.at(1000, [ended("t", 0, "a", Outcome::Ok, 795)]);
     play.at(2000, [list("a"), request("u", 1), told("b", Outcome::Ok, 0.0, 0.0)]);
     play.at(2005, [told("a", Outcome::Moot, 0.0, 0.0)]);
     let told = [(f64::INFINITY, 1.0), (-1.0, 0.0), (2.0, 3.0), (2.0, f64::NAN), (2.0, 1.0)];
     for (held, waiting) in told {
-        let Load { held, waiting, .. } = Load::told(Some(held), Some(waiting), None);
+        let Load { in_flight: held, queued: waiting, .. } =
+            Load::from_report(Some(held), Some(waiting), None);
         play.trace += &format!("{held:?} {waiting:?}\n");
     }
     expect![[r#"
@@ -1234,11 +1257,18 @@
 #[test]
 fn odd_hints_keys_and_sizes_end_nothing() {
     let mut trace = String::new();
-    for terms in [Terms { warm_keys: true, ..asking() }, terms()] {
+    for terms in [BalancerConfig { warm_keys: true, ..asking() }, terms()] {
         let mut play = Play::new(terms);
-        let arrives = |id: &str, cost, key| Event::Arrived(Arrival { cost, key, ..arrival(id, 1) });
+        let arrives = |id: &str, cost, key| {
+            Event::RequestArrived(Arrival { cost, affinity_key: key, ..arrival(id, 1) })
+        };
         for (at, size) in [(0, 0.0), (100, 1e300)] {
-            play.at(at, [Event::Listed(Listing::Whole([Entry { size, ..entry("odd", 0) }].into()))]);
+            play.at(
+                at,
+                [Event::ListUpdate(ListUpdate::Snapshot(
+                    [UpstreamEntry { capacity: size, ..entry("odd", 0) }].into(),
+                ))],
+            );
             play.at(at + 10, [arrives(&format!("w{at}"), None, Some(3))]);
             play.at(at + 30, [ended(&format!("w{at}"), 0, "odd", Outcome::Ok, 20)]);
         }
@@ -1274,12 +1304,12 @@
 /// warm upstreams were jammed beside idle cold ones, which warm up by work only.
 #[test]
 fn where_most_are_cold_each_gets_its_part_of_what_warm_ones_bear() {
-    let mut play = Play::new(Terms { hedging: false, ..terms() });
+    let mut play = Play::new(BalancerConfig { hedging: false, ..terms() });
     play.at(0, [list("a")]);
     let now = play.warm_up(400);
-    let cold = |n: u32| Entry { started: Some(now * MS), ..entry(&format!("c{n}"), 0) };
+    let cold = |n: u32| UpstreamEntry { started_at: Some(now * MS), ..entry(&format!("c{n}"), 0) };
     let entries = std::iter::once(entry("a", 0)).chain((0..7).map(cold));
-    play.at(now, [Event::Listed(Listing::Whole(entries.collect()))]);
+    play.at(now, [Event::ListUpdate(ListUpdate::Snapshot(entries.collect()))]);
     let mut sent = 0;
     for n in 0..50 {
         let (id, at) = (format!("t{n}"), now + 20 * (n + 1));
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -6,7 +6,7 @@
 use helper::*;
 use pondlb::*;
 
-const WITHIN: Lists = Lists::Asked { within: 10_000 * MS };
+const WITHIN: ListSource = ListSource::Polled { max_poll_interval: 10_000 * MS };
 /// So long after a change the first attempt would be too late: six seconds until it counts as told, the grace of half a
 /// second and the slack of limits on sockets, in milliseconds.
 const ALLOWED_MS: u64 = 6000 + 500 + 50;
@@ -16,8 +16,8 @@
 /// Requests that try whether anything is sent come so often.
 const PROBE_MS: u64 = 200;
 
-fn upstreams(count: u32) -> Vec<Entry> {
-    (0..count).map(|n| Entry { zone: n % 3, kind: n % 2, ..entry(&format!("u{n}"), 0) }).collect()
+fn upstreams(count: u32) -> Vec<UpstreamEntry> {
+    (0..count).map(|n| UpstreamEntry { zone: n % 3, kind: n % 2, ..entry(&format!("u{n}"), 0) }).collect()
 }
 
 /// A service that answers calls one after the other.
@@ -25,8 +25,8 @@
 struct Service {
     balancers: u32,
     /// Time of an answer and of a refusal.
-    answer: Tenths,
-    refusal: Tenths,
+    answer: TenthMillis,
+    refusal: TenthMillis,
     /// Until then nobody is answered, in milliseconds.
     up_ms: u64,
 }
@@ -57,9 +57,9 @@
 struct Reply {
     at_ms: u64,
     balancer: usize,
-    listing: Listing,
+    listing: ListUpdate,
     /// Up to when the reply confirms the list.
-    current_at: Option<Tenths>,
+    current_at: Option<TenthMillis>,
 }
 
 /// One balancer, and when it was told of the change.
@@ -69,13 +69,13 @@
 }
 
 impl Follower {
-    fn hear(&mut self, now: u64, listing: Listing, current_at: Option<Tenths>) -> bool {
-        if matches!(listing, Listing::Whole(_)) {
+    fn hear(&mut self, now: u64, listing: ListUpdate, current_at: Option<TenthMillis>) -> bool {
+        if matches!(listing, ListUpdate::Snapshot(_)) {
             self.told_ms = Some(now);
         }
-        let current = current_at.map(|at| Event::ListCurrent { at });
-        let events = std::iter::once(Event::Listed(listing)).chain(current);
-        self.play.at(now, events).contains(&Action::Watch { on: true })
+        let current = current_at.map(|at| Event::ListConfirmed { at });
+        let events = std::iter::once(Event::ListUpdate(listing)).chain(current);
+        self.play.at(now, events).contains(&Action::WatchList { enabled: true })
     }
 }
 
@@ -93,14 +93,19 @@
 impl Service {
     /// Plays until all have been told of a change that was made at `change_ms`, or until the end. `first` says what each
     /// balancer hears at first, and up to when its list is confirmed then.
-    fn play(&self, change_ms: u64, until_ms: u64, first: impl Fn(u64) -> (u64, Listing, Tenths)) -> Played {
-        let terms = Terms { balancers: self.balancers, lists: WITHIN, ..terms() };
+    fn play(
+        &self,
+        change_ms: u64,
+        until_ms: u64,
+        first: impl Fn(u64) -> (u64, ListUpdate, TenthMillis),
+    ) -> Played {
+        let terms = BalancerConfig { balancer_count: self.balancers, list_source: WITHIN, ..terms() };
         let seeds = 0..u64::from(self.balancers);
         let mut followers: Vec<Follower> = (seeds.clone())
             .map(|seed| Follower { play: Play::seeded(terms.clone(), seed), told_ms: None })
             .collect();
         for follower in &mut followers {
-            follower.play.at(0, [Event::Listed(Listing::Whole(upstreams(4).into()))]);
+            follower.play.at(0, [Event::ListUpdate(ListUpdate::Snapshot(upstreams(4).into()))]);
         }
         let mut replies: Vec<Reply> = (seeds.zip(0..))
             .map(|(seed, balancer)| {
@@ -114,13 +119,13 @@
             for Reply { balancer, listing, current_at, .. } in
                 replies.extract_if(.., |reply| reply.at_ms <= now)
             {
-                outcome.refusals += u32::from(matches!(listing, Listing::Lost));
+                outcome.refusals += u32::from(matches!(listing, ListUpdate::Refused));
                 if followers[balancer].hear(now, listing, current_at) {
                     callers.push(balancer);
                 }
             }
             for (balancer, follower) in followers.iter_mut().enumerate() {
-                if follower.play.at(now, []).contains(&Action::Watch { on: true }) {
+                if follower.play.at(now, []).contains(&Action::WatchList { enabled: true }) {
                     callers.push(balancer);
                 }
                 if follower.told_ms.is_none() && now > change_ms + ALLOWED_MS && now % PROBE_MS == 0 {
@@ -140,35 +145,35 @@
         outcome
     }
 
-    fn reply(&self, now: u64, free: &mut Tenths, balancer: usize) -> Reply {
+    fn reply(&self, now: u64, free: &mut TenthMillis, balancer: usize) -> Reply {
         if now < self.up_ms {
             let (at_ms, current_at) = (now + LONGEST_QUEUE_MS, Some(now * MS));
-            return Reply { at_ms, balancer, listing: Listing::Unreached, current_at };
+            return Reply { at_ms, balancer, listing: ListUpdate::Unreachable, current_at };
         }
         let start = (*free).max(now * MS);
         if start > (now + LONGEST_QUEUE_MS) * MS {
             *free = start + self.refusal;
-            return Reply { at_ms: now, balancer, listing: Listing::Lost, current_at: None };
+            return Reply { at_ms: now, balancer, listing: ListUpdate::Refused, current_at: None };
         }
         *free = start + self.answer;
         let (at_ms, current_at) = (*free / MS, Some(now * MS));
-        Reply { at_ms, balancer, listing: Listing::Whole(upstreams(4).into()), current_at }
+        Reply { at_ms, balancer, listing: ListUpdate::Snapshot(upstreams(4).into()), current_at }
     }
 }
 
 /// The calls of a fleet of so many, in tenths of a millisecond each: all take discovery 5 s together at most, which is
 /// what six seconds leave. Measured were 6 balancers at 150 to 310 ms, 60 at 43 to 95, 150 at 33, 300 at 7 to 30; the
 /// dearest of these are played below. The other sizes' costs are assumed.
-const ROWS: [(u32, Tenths); 9] =
+const ROWS: [(u32, TenthMillis); 9] =
     [(1, 3000), (6, 3100), (25, 1200), (60, 700), (98, 450), (150, 330), (300, 150), (350, 130), (1024, 45)];
 
 /// A refusal takes a twentieth of an answer: with 91 balancers answers came 82 ms apart, 86 to 90 ms where one or two calls
 /// were refused between (docs/incidents/stale-list.md).
-fn refusal_of(answer: Tenths) -> Tenths {
+fn refusal_of(answer: TenthMillis) -> TenthMillis {
     answer / 20
 }
 
-fn rows(up_ms: u64, change_ms: u64, first: impl Fn(u64) -> (u64, Listing, Tenths)) -> String {
+fn rows(up_ms: u64, change_ms: u64, first: impl Fn(u64) -> (u64, ListUpdate, TenthMillis)) -> String {
     let played = ROWS.iter().map(|&(balancers, answer)| {
         let service = Service { balancers, answer, refusal: refusal_of(answer), up_ms };
         format!("{balancers}: {}\n", service.play(change_ms, change_ms + 10_000, &first))
@@ -191,7 +196,7 @@
         350: last told after 5880 ms, 0 late, 0 refused, 0 sent late
         1024: last told after 5940 ms, 0 late, 0 refused, 0 sent late
     "#]]
-    .assert_eq(&rows(0, 0, |_| (1300, Listing::Silent, 0)));
+    .assert_eq(&rows(0, 0, |_| (1300, ListUpdate::WatchTimedOut, 0)));
 }
 
 /// The danger is a change that was made while discovery was down, and counts as told six seconds after it is back.
@@ -209,7 +214,7 @@
         350: last told after 4560 ms, 0 late, 0 refused, 0 sent late
         1024: last told after 4620 ms, 0 late, 0 refused, 0 sent late
     "#]]
-    .assert_eq(&rows(8000, 8000, |n| (n * 37 % 2000, Listing::Unreached, 0)));
+    .assert_eq(&rows(8000, 8000, |n| (n * 37 % 2000, ListUpdate::Unreachable, 0)));
 }
 
 /// Where the row can't answer all in six seconds, whatever they do, all are answered yet: who is turned away time and
@@ -221,7 +226,7 @@
         // As measured, and the worst that a service may do.
         for refusal in [refusal_of(answer), answer] {
             let service = Service { balancers, answer, refusal, up_ms: 0 };
-            let played = service.play(0, 150_000, |_| (1300, Listing::Silent, 0));
+            let played = service.play(0, 150_000, |_| (1300, ListUpdate::WatchTimedOut, 0));
             trace += &format!("{balancers}, refusals of {} us: {played}\n", refusal * 100);
         }
     }
@@ -248,7 +253,7 @@
             for refusal in [refusal_of(answer), answer] {
                 for silent_ms in [0, 1500, 12_000] {
                     let service = Service { balancers, answer, refusal, up_ms: 0 };
-                    let first = |_| (silent_ms + 1300, Listing::Silent, silent_ms * MS);
+                    let first = |_| (silent_ms + 1300, ListUpdate::WatchTimedOut, silent_ms * MS);
                     let outcome = service.play(silent_ms, silent_ms + 9000, first);
                     assert_eq!(outcome.sent_too_late, 0, "{balancers}, {answer}, {refusal}, {silent_ms}");
                     let crowded = answer * u64::from(balancers) > 90_000;
@@ -264,7 +269,7 @@
 fn an_outage_of_the_service_stops_nobody_however_long_it_is() {
     for balancers in [1, 91, 300] {
         let service = Service { balancers, answer: 100, refusal: 10, up_ms: 60_000 };
-        let outcome = service.play(0, 59_000, |n| (n * 37 % 1000, Listing::Unreached, 0));
+        let outcome = service.play(0, 59_000, |n| (n * 37 % 1000, ListUpdate::Unreachable, 0));
         assert_eq!(outcome.rejected, 0, "{balancers}");
         assert!(outcome.sent_too_late > 0, "requests were sent");
     }
@@ -275,17 +280,17 @@
 fn attempts_begin_until_the_lease_on_the_list_ends_and_again_once_it_is_renewed() {
     let mut trace = String::new();
     for (within, grace) in [(10_000, 500), (10_000, 0), (10_000, 3000), (2000, 500)] {
-        let lists = Lists::Asked { within: within * MS };
-        let mut play = Play::new(Terms { lists, drain_grace: grace * MS, ..terms() });
-        play.at(0, [list("a b"), Event::ListCurrent { at: 1000 * MS }]);
+        let lists = ListSource::Polled { max_poll_interval: within * MS };
+        let mut play = Play::new(BalancerConfig { list_source: lists, drain_grace: grace * MS, ..terms() });
+        play.at(0, [list("a b"), Event::ListConfirmed { at: 1000 * MS }]);
         let end = (1000..12_000).step_by(10).find(|ms| !sends(&mut play, *ms)).unwrap();
         play.trace.clear();
         play.at(end, []);
         assert!(!sends(&mut play, end + 1));
-        play.at(end + 2, [Event::ListCurrent { at: end * MS }]);
+        play.at(end + 2, [Event::ListConfirmed { at: end * MS }]);
         assert!(sends(&mut play, end + 3), "the lease is renewed");
         // An older word changes nothing.
-        play.at(end + 4, [Event::ListCurrent { at: 0 }]);
+        play.at(end + 4, [Event::ListConfirmed { at: 0 }]);
         assert!(sends(&mut play, end + 5));
         trace += &format!("asked within {within} ms, grace {grace} ms: sent until {end} ms\n");
     }
@@ -301,10 +306,10 @@
 /// The danger is an attempt that waits for its connection, and begins when the lease has ended.
 #[test]
 fn an_attempt_may_not_begin_after_the_lease_on_the_list_ends() {
-    let mut play = Play::new(Terms { lists: WITHIN, ..terms() });
-    let actions = play.at(0, [list("a"), Event::ListCurrent { at: 0 }, request("r", 0)]);
+    let mut play = Play::new(BalancerConfig { list_source: WITHIN, ..terms() });
+    let actions = play.at(0, [list("a"), Event::ListConfirmed { at: 0 }, request("r", 0)]);
     let begin_by = actions.iter().find_map(|action| match action {
-        Action::Attempt { begin_by, .. } => Some(*begin_by),
+        Action::Attempt { send_by: begin_by, .. } => Some(*begin_by),
         _ => None,
     });
     assert_eq!(begin_by, Some(Some(6350 * MS)));
@@ -313,7 +318,7 @@
 /// A front end that never confirms the list, as the simulator's, has to bring each change in time.
 #[test]
 fn without_a_word_on_how_current_the_list_is_it_is_trusted() {
-    let mut play = Play::new(Terms { lists: WITHIN, ..terms() });
+    let mut play = Play::new(BalancerConfig { list_source: WITHIN, ..terms() });
     play.at(0, [list("a")]);
     assert_eq!(play.sent_to(600_000, request("late", 0)), "a");
 }
@@ -321,12 +326,15 @@
 #[test]
 fn a_silent_watch_and_an_agent_are_asked_at_once_and_a_failed_call_is_not() {
     let mut trace = String::new();
-    for lists in [Lists::Asked { within: 10_000 * MS }, Lists::Agent] {
+    for lists in [ListSource::Polled { max_poll_interval: 10_000 * MS }, ListSource::LocalAgent] {
         for balancers in [1, u32::MAX] {
-            let mut play = Play::new(Terms { balancers, lists, ..terms() });
-            let known = Listing::Remembered([entry("a", 0)].into());
-            for (from, listing) in (0..).step_by(10_000).zip([known, Listing::Silent, Listing::Lost]) {
-                let mut events = vec![Event::Listed(listing)];
+            let mut play =
+                Play::new(BalancerConfig { balancer_count: balancers, list_source: lists, ..terms() });
+            let known = ListUpdate::Restored([entry("a", 0)].into());
+            for (from, listing) in
+                (0..).step_by(10_000).zip([known, ListUpdate::WatchTimedOut, ListUpdate::Refused])
+            {
+                let mut events = vec![Event::ListUpdate(listing)];
                 let asked = (0..10_000).find(|ms| !play.at(from + ms, events.drain(..)).is_empty());
                 trace += &format!("{} ms ", asked.unwrap());
             }
@@ -334,20 +342,20 @@
         trace += &format!("until one and all are asked where it is {lists:?}\n");
     }
     expect![[r#"
-        1336 ms 52 ms 178 ms 3117 ms 2310 ms 886 ms until one and all are asked where it is Asked { within: 100000 }
-        0 ms 0 ms 130 ms 0 ms 0 ms 130 ms until one and all are asked where it is Agent
+        1336 ms 52 ms 178 ms 3117 ms 2310 ms 886 ms until one and all are asked where it is Polled { max_poll_interval: 100000 }
+        0 ms 0 ms 130 ms 0 ms 0 ms 130 ms until one and all are asked where it is LocalAgent
     "#]].assert_eq(&trace);
 }
 
 #[test]
 fn a_lost_list_is_asked_for_again_with_growing_waits() {
-    let mut play = Play::new(Terms { lists: WITHIN, ..terms() });
-    play.at(0, [Event::Listed(Listing::Remembered([entry("a", 0)].into())), request("first", 0)]);
+    let mut play = Play::new(BalancerConfig { list_source: WITHIN, ..terms() });
+    play.at(0, [Event::ListUpdate(ListUpdate::Restored([entry("a", 0)].into())), request("first", 0)]);
     let mut asked = 0;
     for ms in 1..20_000 {
         if !play.at(ms, []).is_empty() {
             asked += 1;
-            play.at(ms, [Event::Listed(Listing::Lost)]);
+            play.at(ms, [Event::ListUpdate(ListUpdate::Refused)]);
         }
         if asked == 5 {
             break;
@@ -355,11 +363,11 @@
     }
     expect![[r#"
         0: post first to a
-        1336: Watch { on: true }
-        1597: Watch { on: true }
-        1806: Watch { on: true }
-        2466: Watch { on: true }
-        4340: Watch { on: true }
+        1336: WatchList { enabled: true }
+        1597: WatchList { enabled: true }
+        1806: WatchList { enabled: true }
+        2466: WatchList { enabled: true }
+        4340: WatchList { enabled: true }
     "#]]
     .assert_eq(&play.trace);
 }
@@ -369,11 +377,11 @@
     let mut calls = [0; 10];
     let mut served = 0;
     for seed in 0..1000 {
-        let terms = Terms { balancers: 1000, lists: WITHIN, ..terms() };
+        let terms = BalancerConfig { balancer_count: 1000, list_source: WITHIN, ..terms() };
         let mut play = Play::seeded(terms, seed);
-        play.at(0, [Event::Listed(Listing::Remembered(upstreams(40).into()))]);
+        play.at(0, [Event::ListUpdate(ListUpdate::Restored(upstreams(40).into()))]);
         served += usize::from(!play.sent_to(0, request("t", 0)).is_empty());
-        let asked = |ms: &u64| play.at(*ms, []).contains(&Action::Watch { on: true });
+        let asked = |ms: &u64| play.at(*ms, []).contains(&Action::WatchList { enabled: true });
         calls[(1..100).map(|n| n * 100).find(asked).unwrap() as usize / 1000] += 1;
     }
     expect!["[212, 300, 304, 184, 0, 0, 0, 0, 0, 0] first calls in each second, 1000 served at once"]
@@ -384,21 +392,21 @@
 #[test]
 fn a_hundred_restarted_at_once_get_their_lists_from_a_service_that_turns_callers_away() {
     let service = Service { balancers: 100, answer: 600, refusal: refusal_of(600), up_ms: 0 };
-    let outcome = service.play(0, 30_000, |_| (0, Listing::Remembered(upstreams(40).into()), 0));
+    let outcome = service.play(0, 30_000, |_| (0, ListUpdate::Restored(upstreams(40).into()), 0));
     expect!["last told after 6320 ms, 0 late, 13 refused, 0 sent late"].assert_eq(&outcome.to_string());
 }
 
 /// The danger is a change that the old address has not told, and the new one could not in time.
 #[test]
 fn after_a_move_of_discovery_nothing_is_sent_for_longer_than_four_seconds_and_the_grace_unconfirmed() {
-    let mut play = Play::new(Terms { lists: WITHIN, ..terms() });
-    play.at(0, [list("a b"), Event::ListCurrent { at: 10_000 * MS }]);
-    play.at(10_000, [Event::DiscoveryMoved]);
+    let mut play = Play::new(BalancerConfig { list_source: WITHIN, ..terms() });
+    play.at(0, [list("a b"), Event::ListConfirmed { at: 10_000 * MS }]);
+    play.at(10_000, [Event::DiscoveryAddressChanged]);
     // A second move and a word of before the first put nothing off.
-    play.at(11_000, [Event::DiscoveryMoved, Event::ListCurrent { at: 9_900 * MS }]);
+    play.at(11_000, [Event::DiscoveryAddressChanged, Event::ListConfirmed { at: 9_900 * MS }]);
     assert!(sends(&mut play, 14_340));
     assert!(!sends(&mut play, 14_350));
-    play.at(14_400, [Event::ListCurrent { at: 12_000 * MS }]);
+    play.at(14_400, [Event::ListConfirmed { at: 12_000 * MS }]);
     assert!(sends(&mut play, 18_340));
     assert!(!sends(&mut play, 18_350));
 }
