--- a/crates/pondlb-http/src/reader.rs
+++ b/crates/pondlb-http/src/reader.rs
@@ -24,8 +24,8 @@
 /// [`MessageReader::mark_filled`], and calls [`MessageReader::next_message`] until it returns `None`.
 pub struct MessageReader {
     buffer: Buffer,
-    /// Number of buffered bytes already searched for the end of the head. Without it, the head of a slow sender would be
-    /// searched from its start each time a few bytes arrive.
+    /// Number of buffered bytes already searched for the end of the head. Without it, the head of a slow sender would
+    /// be searched from its start each time a few bytes arrive.
     searched_bytes: usize,
     /// The message whose body is incomplete.
     pending: Option<PendingMessage>,
