--- a/crates/pondlb-control-net/benches/follow.rs
+++ b/crates/pondlb-control-net/benches/follow.rs
@@ -19,7 +19,10 @@
 
 use flate2::Compression;
 use flate2::write::GzEncoder;
-use pondlb_control::{Answer, Call, Key, Kind, Limits, Names, NewChange, Progress, Replica, Store, Version};
+use pondlb_control::{
+    Key, KeyInterner, Limits, NewChange, Progress, RecordKind, Replica, ReplicaRequest, ReplicaResponse,
+    Store, Version,
+};
 use pondlb_control_net::{CheckRecord, Following, Status, check_record, follow};
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -61,7 +64,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     let server = listener.local_addr().expect("its address");
     spawn_local(serve(listener, Rc::new(answers)));
-    let names = Names::default();
+    let names = KeyInterner::default();
     let mut least_disturbed = vec![Duration::MAX; versions.len()];
     for number in 0..followers {
         let longest = follow_through(server, names.clone(), check, &versions).await;
@@ -75,7 +78,7 @@
 /// Follows until the last version; the longest poll until each version.
 async fn follow_through(
     server: SocketAddr,
-    names: Names,
+    names: KeyInterner,
     check: CheckRecord,
     versions: &[Version],
 ) -> Vec<Duration> {
@@ -91,7 +94,7 @@
         loop {
             let news = delivered.recv().await.expect("the follower goes on");
             records += news.update.changes.len();
-            let is_last = news.update.version == *version && !news.update.more;
+            let is_last = news.update.version == *version && !news.update.has_more;
             if is_last {
                 let each = started.elapsed() / u32::try_from(records.max(1)).unwrap_or(1);
                 println!("  {version}: {records} records, {each:?} each");
@@ -155,12 +158,12 @@
         (0..UPSTREAMS).filter(zone).map(set).collect(),
     ];
     let mut store = Store::new(EPOCH, Limits::default());
-    let mut replica = Replica::new(Limits::default(), Names::default());
+    let mut replica = Replica::new(Limits::default(), KeyInterner::default());
     let (mut answers, mut versions) = (Answers::new(), Vec::new());
     for changes in commits.iter().take(states) {
         let version = store.commit(changes, &check_record).expect("records that balancers take");
         while replica.version() != version || !replica.is_in_sync() {
-            let call = replica.next_call(HOLD);
+            let call = replica.next_request(HOLD);
             let (answer, encoded) = answer(&store, &call);
             let progress = replica.receive(answer, &check_record).expect("an answer that is taken");
             assert!(!matches!(progress, Progress::Unchanged));
@@ -171,19 +174,19 @@
     (answers, versions)
 }
 
-fn answer(store: &Store, call: &Call) -> (Answer, Vec<u8>) {
+fn answer(store: &Store, call: &ReplicaRequest) -> (ReplicaResponse, Vec<u8>) {
     match call {
-        Call::Changes { from, .. } => {
-            let answer = store.changes(*from, PIECE_BYTES);
+        ReplicaRequest::Changes { from, .. } => {
+            let answer = store.changes_since(*from, PIECE_BYTES);
             let encoded = response(&answer);
-            (Answer::Changes(answer), encoded)
+            (ReplicaResponse::Changes(answer), encoded)
         }
-        Call::Snapshot { after } => {
-            let answer = store.snapshot(after.as_ref(), SNAPSHOT_PIECE_BYTES);
+        ReplicaRequest::Snapshot { after } => {
+            let answer = store.snapshot_page(after.as_ref(), SNAPSHOT_PIECE_BYTES);
             let encoded = response(&answer);
-            (Answer::Snapshot(answer), encoded)
+            (ReplicaResponse::Snapshot(answer), encoded)
         }
-        Call::Digests | Call::Bucket(_) => unreachable!("nothing is to be repaired"),
+        ReplicaRequest::Digests | ReplicaRequest::Bucket(_) => unreachable!("nothing is to be repaired"),
     }
 }
 
@@ -210,6 +213,6 @@
         zone / 5,
         zone % 5
     );
-    let key: Key = Key::new(Kind::Upstream, &name).expect("a key");
+    let key: Key = Key::new(RecordKind::Upstream, &name).expect("a key");
     NewChange { key, value: RawValue::from_string(value).ok() }
 }
--- a/crates/pondlb-control-net/src/check.rs
+++ b/crates/pondlb-control-net/src/check.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 use std::collections::HashSet;
 
-use pondlb_control::{CommitError, Key, Kind, NewChange, Store};
+use pondlb_control::{CommitError, Key, NewChange, RecordKind, Store};
 use pondlb_terms::{SettingChange, Target};
 
 /// Says whether a value may be taken for a record, or the record be removed, and why not.
@@ -20,8 +20,10 @@
     let is_object = first == Some(b'{');
     let is_scalar = !matches!(first, None | Some(b'{' | b'['));
     match key.kind() {
-        Kind::Upstream | Kind::Class | Kind::Tenant if !is_object => Err("a JSON object is accepted".into()),
-        Kind::Limit if !is_scalar => Err("a JSON scalar is accepted".into()),
+        RecordKind::Upstream | RecordKind::Class | RecordKind::Tenant if !is_object => {
+            Err("a JSON object is accepted".into())
+        }
+        RecordKind::Limit if !is_scalar => Err("a JSON scalar is accepted".into()),
         _ => Ok(()),
     }
 }
@@ -33,8 +35,8 @@
 pub fn check_record(key: &Key, value: Option<&str>) -> Result<(), String> {
     check_shape(key, value)?;
     match (key.kind(), value) {
-        (Kind::Upstream, Some(value)) => Target::read(key.name(), value).map(drop),
-        (Kind::Upstream, None) => Ok(()),
+        (RecordKind::Upstream, Some(value)) => Target::read(key.name(), value).map(drop),
+        (RecordKind::Upstream, None) => Ok(()),
         _ => pondlb_terms::check(&SettingChange {
             key: Cow::Borrowed(key.as_str()),
             value: value.map(Cow::Borrowed),
@@ -45,11 +47,11 @@
 /// Where a commit removes a class, at least one class must be left: without any no balancer could serve.
 ///
 /// # Errors
-/// [`CommitError::Refused`] with the last class that the commit removes.
+/// [`CommitError::InvalidRecord`] with the last class that the commit removes.
 pub fn check_classes_left(store: &Store, changes: &[NewChange]) -> Result<(), CommitError> {
-    let classes = || changes.iter().filter(|change| change.key.kind() == Kind::Class);
+    let classes = || changes.iter().filter(|change| change.key.kind() == RecordKind::Class);
     let Some(removal) = classes().rfind(|change| change.value.is_none()) else { return Ok(()) };
-    let mut left: HashSet<&Key> = store.keys(Kind::Class).collect();
+    let mut left: HashSet<&Key> = store.keys(RecordKind::Class).collect();
     for NewChange { key, value } in classes() {
         match value {
             Some(_) => left.insert(key),
@@ -59,5 +61,8 @@
     if !left.is_empty() {
         return Ok(());
     }
-    Err(CommitError::Refused { key: removal.key.clone(), reason: "the last class can't be removed".into() })
+    Err(CommitError::InvalidRecord {
+        key: removal.key.clone(),
+        reason: "the last class can't be removed".into(),
+    })
 }
--- a/crates/pondlb-control-net/src/client/driver.rs
+++ b/crates/pondlb-control-net/src/client/driver.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use pondlb_control::{
-    Answer, Call, Hold, Key, PendingAnswer, Progress, Rejection, Replica, Rotation, Update,
+    Key, LongPoll, PendingResponse, Progress, Rejection, Replica, ReplicaRequest, ReplicaResponse, Rotation,
+    Update,
 };
 use serde::de::DeserializeOwned;
 use tokio::sync::{mpsc, oneshot};
@@ -91,14 +92,14 @@
 
     /// One call and all that it brings; how long to wait before the next one.
     async fn call_once(&mut self) -> Result<Option<Duration>, Failure> {
-        let call = self.replica.next_call(self.following.hold);
+        let call = self.replica.next_request(self.following.hold);
         self.count_begun(&call);
         let called = Instant::now();
         let answer = self.ask(&call).await?;
         let answered = Instant::now();
         let told = told_by(&answer);
         let progress = self.receive(answer).await?;
-        self.rotation.succeeded();
+        self.rotation.record_success();
         let in_sync = self.replica.is_in_sync();
         self.status.count(|counters| {
             counters.answers += 1;
@@ -108,7 +109,7 @@
             Progress::Unchanged => self.status.note_heard(answered, told.staleness),
             Progress::Pending => {}
             Progress::Applied(update) => {
-                let (is_last, is_empty) = (!update.more, update.changes.is_empty());
+                let (is_last, is_empty) = (!update.has_more, update.changes.is_empty());
                 self.put_in_force(update).await;
                 if is_last {
                     self.status.note_heard(answered, told.staleness);
@@ -121,23 +122,23 @@
 
     /// Takes an answer that was just decoded, all or nothing. Other tasks get a turn before its records are checked,
     /// between slices of them, and before they are taken.
-    async fn receive(&mut self, answer: Answer) -> Result<Progress, Rejection> {
-        let mut pending = PendingAnswer::new(answer);
-        while !pending.is_checked() {
+    async fn receive(&mut self, answer: ReplicaResponse) -> Result<Progress, Rejection> {
+        let mut pending = PendingResponse::new(answer);
+        while !pending.is_validated() {
             yield_now().await;
-            self.replica.check_slice(&mut pending, &self.check, SLICE);
-            if pending.is_checked() {
+            self.replica.validate_batch(&mut pending, &self.check, SLICE);
+            if pending.is_validated() {
                 yield_now().await;
             }
         }
-        self.replica.receive_checked(pending, &self.check)
+        self.replica.receive_validated(pending, &self.check)
     }
 
-    async fn ask(&mut self, call: &Call) -> Result<Answer, Failure> {
+    async fn ask(&mut self, call: &ReplicaRequest) -> Result<ReplicaResponse, Failure> {
         let server = self.server();
         self.status.note_server(server);
         let within = match call {
-            Call::Changes { hold: Hold::UpTo(hold), .. } => *hold + self.following.late,
+            ReplicaRequest::Changes { hold: LongPoll::UpTo(hold), .. } => *hold + self.following.late,
             _ => ANSWER_WITHIN,
         };
         let target = self.target(call);
@@ -148,21 +149,21 @@
         decode(call, &body)
     }
 
-    fn target(&self, call: &Call) -> String {
+    fn target(&self, call: &ReplicaRequest) -> String {
         let target = call.target(&self.name);
         match (call, self.status.counters().refused) {
-            (Call::Changes { .. }, refused @ 1..) => format!("{target}&{REFUSED}={refused}"),
+            (ReplicaRequest::Changes { .. }, refused @ 1..) => format!("{target}&{REFUSED}={refused}"),
             _ => target,
         }
     }
 
     /// How long the content of an answer may be.
-    fn most_content(&self, call: &Call) -> usize {
+    fn most_content(&self, call: &ReplicaRequest) -> usize {
         match call {
-            Call::Changes { .. } | Call::Snapshot { .. } => {
-                MOST_PIECE_BYTES + MOST_BESIDE_VALUE + self.following.limits.value_bytes
+            ReplicaRequest::Changes { .. } | ReplicaRequest::Snapshot { .. } => {
+                MOST_PIECE_BYTES + MOST_BESIDE_VALUE + self.following.limits.max_value_bytes
             }
-            Call::Digests | Call::Bucket(_) => MOST_REPAIR,
+            ReplicaRequest::Digests | ReplicaRequest::Bucket(_) => MOST_REPAIR,
         }
     }
 
@@ -189,9 +190,9 @@
             log::debug!("control: {server}: again {failure}");
         }
         self.link.close();
-        self.replica.restart();
-        let wait = self.rotation.failed();
-        self.home_at = self.rotation.return_home_after().map(|after| Instant::now() + after);
+        self.replica.reset_for_new_server();
+        let wait = self.rotation.fail_over();
+        self.home_at = self.rotation.failback_delay().map(|after| Instant::now() + after);
         wait
     }
 
@@ -200,29 +201,29 @@
         let is_due = self.home_at.is_some_and(|at| at <= Instant::now());
         if is_due && self.replica.is_in_sync() {
             self.home_at = None;
-            self.rotation.return_home();
-            self.replica.restart();
+            self.rotation.fail_back();
+            self.replica.reset_for_new_server();
             log::debug!("control: back to {}", self.server());
         }
     }
 
     fn server(&self) -> SocketAddr {
         let servers = &self.following.servers;
-        servers[self.rotation.server() % servers.len()]
+        servers[self.rotation.current_server() % servers.len()]
     }
 
-    fn count_begun(&self, call: &Call) {
+    fn count_begun(&self, call: &ReplicaRequest) {
         self.status.count(|counters| match call {
-            Call::Snapshot { after: None } => counters.snapshots += 1,
-            Call::Digests => counters.repairs += 1,
+            ReplicaRequest::Snapshot { after: None } => counters.snapshots += 1,
+            ReplicaRequest::Digests => counters.repairs += 1,
             _ => {}
         });
     }
 }
 
-fn told_by(answer: &Answer) -> Told {
+fn told_by(answer: &ReplicaResponse) -> Told {
     match answer {
-        Answer::Changes(changes) => Told {
+        ReplicaResponse::Changes(changes) => Told {
             staleness: Duration::from_millis(changes.stale_ms),
             is_empty: changes.changes.is_empty() && !changes.reset,
         },
@@ -230,12 +231,12 @@
     }
 }
 
-fn decode(call: &Call, body: &[u8]) -> Result<Answer, Failure> {
+fn decode(call: &ReplicaRequest, body: &[u8]) -> Result<ReplicaResponse, Failure> {
     Ok(match call {
-        Call::Changes { .. } => Answer::Changes(json(body)?),
-        Call::Snapshot { .. } => Answer::Snapshot(json(body)?),
-        Call::Digests => Answer::Digests(json(body)?),
-        Call::Bucket(_) => Answer::Bucket(json(body)?),
+        ReplicaRequest::Changes { .. } => ReplicaResponse::Changes(json(body)?),
+        ReplicaRequest::Snapshot { .. } => ReplicaResponse::Snapshot(json(body)?),
+        ReplicaRequest::Digests => ReplicaResponse::Digests(json(body)?),
+        ReplicaRequest::Bucket(_) => ReplicaResponse::Bucket(json(body)?),
     })
 }
 
--- a/crates/pondlb-control-net/src/client/mod.rs
+++ b/crates/pondlb-control-net/src/client/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb_control::{Key, Limits, Names, Update};
+use pondlb_control::{Key, KeyInterner, Limits, Update};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::options::{MOST_NAME, is_caller_name};
@@ -34,7 +34,7 @@
     /// What is taken at most.
     pub limits: Limits,
     /// Keys that are shared with other replicas of the process.
-    pub names: Names,
+    pub names: KeyInterner,
 }
 
 /// The parameter of calls for changes that tells how many records could not be put in force.
@@ -54,7 +54,7 @@
             hold: DEFAULT_HOLD,
             late: DEFAULT_LATE,
             limits: Limits::default(),
-            names: Names::default(),
+            names: KeyInterner::default(),
         }
     }
 
--- a/crates/pondlb-control-net/src/options.rs
+++ b/crates/pondlb-control-net/src/options.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pondlb_control::{Commit, CommitError, Limits, NewChange, Store};
+use pondlb_control::{CommitError, CommitRequest, Limits, NewChange, Store};
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
@@ -141,7 +141,7 @@
 
     /// What the store may hold: half of the memory, since a whole state that is taken stands beside the one before.
     pub fn limits(&self) -> Limits {
-        Limits { total_bytes: (self.memory_mb << 20) / 2, ..Limits::default() }
+        Limits { max_total_bytes: (self.memory_mb << 20) / 2, ..Limits::default() }
     }
 
     /// The longest body of a commit.
@@ -243,8 +243,9 @@
     fn initial(&mut self, path: &Path) -> Option<Vec<NewChange>> {
         let path = self.file.parent().unwrap_or(Path::new("")).join(path);
         let read = std::fs::read(&path).map_err(|error| error.to_string());
-        let commit = read
-            .and_then(|bytes| serde_json::from_slice::<Commit>(&bytes).map_err(|error| error.to_string()));
+        let commit = read.and_then(|bytes| {
+            serde_json::from_slice::<CommitRequest>(&bytes).map_err(|error| error.to_string())
+        });
         match commit {
             Ok(commit) => Some(commit.changes),
             Err(reason) => {
--- a/crates/pondlb-control-net/src/server/calls.rs
+++ b/crates/pondlb-control-net/src/server/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondlb_control::{Call, Digest, Hold, Key, Version};
+use pondlb_control::{Digest, Key, LongPoll, ReplicaRequest, Version};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use super::answer_cache::{AnswerKey, Content, EncodedAnswer};
@@ -30,19 +30,19 @@
         return unavailable("this server holds no state yet");
     }
     match call {
-        Call::Changes { from, digest, hold } => {
+        ReplicaRequest::Changes { from, digest, hold } => {
             if let Some(caller) = caller {
                 state.note_follower(&caller, from, digest);
             }
             wait_for_news(state, from, digest, hold, pace).await;
             changes(state, from, accepted, pace)
         }
-        Call::Snapshot { after } => snapshot(state, after, accepted).await,
-        Call::Digests => response(state.answer(AnswerKey { content: Content::Digests, accepted })),
-        Call::Bucket(bucket) if !state.has_bucket(bucket) => {
+        ReplicaRequest::Snapshot { after } => snapshot(state, after, accepted).await,
+        ReplicaRequest::Digests => response(state.answer(AnswerKey { content: Content::Digests, accepted })),
+        ReplicaRequest::Bucket(bucket) if !state.has_bucket(bucket) => {
             Response::text(Status::BadRequest, "bucket: no such bucket")
         }
-        Call::Bucket(bucket) => {
+        ReplicaRequest::Bucket(bucket) => {
             response(state.answer(AnswerKey { content: Content::Bucket(bucket), accepted }))
         }
     }
@@ -50,8 +50,8 @@
 
 /// Returns once the store is newer than the caller, or the hold is over. News wait until some time has passed since
 /// the last, so that many changes make few answers; what was promised comes at once.
-async fn wait_for_news(state: &State, from: Version, digest: Digest, hold: Hold, pace: &Pace) {
-    let Hold::UpTo(hold) = hold else { return };
+async fn wait_for_news(state: &State, from: Version, digest: Digest, hold: LongPoll, pace: &Pace) {
+    let LongPoll::UpTo(hold) = hold else { return };
     // Its records are not those of its version: it is told so at once.
     if from == state.version() && digest != state.digest() {
         return;
--- a/crates/pondlb-control-net/src/server/commit.rs
+++ b/crates/pondlb-control-net/src/server/commit.rs
@@ -1,6 +1,6 @@
 //! The address of the origin at which changes are committed.
 
-use pondlb_control::{Commit, Committed};
+use pondlb_control::{CommitRequest, CommitResponse};
 use pondlb_http::Message;
 
 use super::request::{RequestError, method_and_target};
@@ -20,14 +20,14 @@
 }
 
 fn commit(state: &State, body: &[u8]) -> Response {
-    let commit: Commit = match serde_json::from_slice(body) {
+    let commit: CommitRequest = match serde_json::from_slice(body) {
         Ok(commit) => commit,
         Err(error) => return Response::text(Status::BadRequest, &error.to_string()),
     };
     match state.commit(&commit.changes) {
         Ok(version) => {
             log::info!("{} changes committed: version {version}", commit.changes.len());
-            Response::json(&Committed { version })
+            Response::json(&CommitResponse { version })
         }
         Err(error) => Response::text(Status::BadRequest, &error.to_string()),
     }
--- a/crates/pondlb-control-net/src/server/request.rs
+++ b/crates/pondlb-control-net/src/server/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pondlb_control::{Call, Digest, Hold, Key, Version};
+use pondlb_control::{Digest, Key, LongPoll, ReplicaRequest, Version};
 use pondlb_http::Head;
 
 use crate::client::REFUSED;
@@ -20,7 +20,7 @@
         /// Who calls, where the call tells it.
         caller: Option<Caller>,
         /// What is asked.
-        call: Call,
+        call: ReplicaRequest,
     },
     /// The table of followers.
     Followers,
@@ -91,11 +91,11 @@
         match path {
             "/control/changes" => Request::changes(&Query(query)),
             "/control/snapshot" => Request::snapshot(query),
-            "/control/digests" => Ok(Request::Call { caller: None, call: Call::Digests }),
+            "/control/digests" => Ok(Request::Call { caller: None, call: ReplicaRequest::Digests }),
             "/control/bucket" => {
                 let bucket = Query(query).number("bucket")?;
                 let bucket = usize::try_from(bucket).unwrap_or(usize::MAX);
-                Ok(Request::Call { caller: None, call: Call::Bucket(bucket) })
+                Ok(Request::Call { caller: None, call: ReplicaRequest::Bucket(bucket) })
             }
             "/control/followers" => Ok(Request::Followers),
             _ => Err(RequestError::Path(path.to_string())),
@@ -110,12 +110,12 @@
         let digest = digest
             .ok_or(RequestError::Parameter { parameter: "digest", accepted: "16 hexadecimal digits" })?;
         let hold = match query.number("hold_ms")? {
-            0 => Hold::No,
-            hold_ms => Hold::UpTo(Duration::from_millis(hold_ms).min(MOST_HOLD)),
+            0 => LongPoll::No,
+            hold_ms => LongPoll::UpTo(Duration::from_millis(hold_ms).min(MOST_HOLD)),
         };
         let refused = if query.get(REFUSED).is_some() { query.number(REFUSED)? } else { 0 };
         let caller = Caller { name: name.to_string(), refused };
-        Ok(Request::Call { caller: Some(caller), call: Call::Changes { from, digest, hold } })
+        Ok(Request::Call { caller: Some(caller), call: ReplicaRequest::Changes { from, digest, hold } })
     }
 
     fn snapshot(query: &str) -> Result<Request, RequestError> {
@@ -123,9 +123,9 @@
         let after = match Query(query).get("after") {
             None if query.is_empty() => None,
             None => return Err(bad),
-            Some(after) => Some(Key::parse_encoded(after).map_err(|_| bad)?),
+            Some(after) => Some(Key::parse_percent_encoded(after).map_err(|_| bad)?),
         };
-        Ok(Request::Call { caller: None, call: Call::Snapshot { after } })
+        Ok(Request::Call { caller: None, call: ReplicaRequest::Snapshot { after } })
     }
 }
 
--- a/crates/pondlb-control-net/src/server/state.rs
+++ b/crates/pondlb-control-net/src/server/state.rs
@@ -92,7 +92,7 @@
 
     /// Takes what the own replica has verified.
     pub fn replicate(&self, update: &Update) {
-        self.store.borrow_mut().replicate(update);
+        self.store.borrow_mut().apply_update(update);
         let version = self.store.borrow().version();
         self.note_changed(version);
     }
@@ -150,16 +150,16 @@
         let (mut has_changes, mut more) = (false, false);
         let plain = match content {
             Content::Changes { from, stale_ms } => {
-                let mut answer = store.changes(*from, self.options.piece_bytes);
+                let mut answer = store.changes_since(*from, self.options.piece_bytes);
                 answer.stale_ms = *stale_ms;
-                (has_changes, more) = (!answer.changes.is_empty(), answer.more);
+                (has_changes, more) = (!answer.changes.is_empty(), answer.has_more);
                 serde_json::to_vec(&answer)?
             }
             Content::Snapshot { after } => {
-                serde_json::to_vec(&store.snapshot(after.as_ref(), SNAPSHOT_PIECE_BYTES))?
+                serde_json::to_vec(&store.snapshot_page(after.as_ref(), SNAPSHOT_PIECE_BYTES))?
             }
-            Content::Digests => serde_json::to_vec(&store.digests())?,
-            Content::Bucket(bucket) => serde_json::to_vec(&store.bucket(*bucket))?,
+            Content::Digests => serde_json::to_vec(&store.bucket_digests())?,
+            Content::Bucket(bucket) => serde_json::to_vec(&store.bucket_records(*bucket))?,
         };
         let (body, coding) = coding::encode(plain, *accepted);
         Ok(EncodedAnswer { body: body.into(), coding, has_changes, more })
--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use expect_test::expect;
-use pondlb_control::{Change, Digest, Key, Kind, Limits, NewChange, Store, Update, Version};
+use pondlb_control::{Change, Digest, Key, Limits, NewChange, RecordKind, Store, Update, Version};
 use pondlb_http::Head;
 use tokio::time::Instant;
 
@@ -96,7 +96,7 @@
 
 fn class_change(name: &str, value: Option<&str>) -> NewChange {
     let value = value.and_then(|text| serde_json::value::RawValue::from_string(text.into()).ok());
-    NewChange { key: Key::new(Kind::Class, name).expect("a name"), value }
+    NewChange { key: Key::new(RecordKind::Class, name).expect("a name"), value }
 }
 
 /// The danger is a version that no balancer can put in force: without any class none could serve.
@@ -108,8 +108,10 @@
     let state = State::new(options, Store::new(7, Limits::default()), None);
     let set = |name| class_change(name, Some("{}"));
     let remove = |name| class_change(name, None);
-    let upstream =
-        NewChange { key: Key::new(Kind::Upstream, "u").expect("a name"), value: set("x").value.clone() };
+    let upstream = NewChange {
+        key: Key::new(RecordKind::Upstream, "u").expect("a name"),
+        value: set("x").value.clone(),
+    };
     let mut trace = String::new();
     for changes in [
         // Of classes that only balancers have in their files the origin knows nothing.
@@ -187,7 +189,7 @@
 
 fn record(name: &str, value: &str, revision: u64) -> Change {
     let value = serde_json::value::RawValue::from_string(value.into()).ok();
-    Change { revision, key: Key::new(Kind::Upstream, name).expect("a name"), value }
+    Change { revision, key: Key::new(RecordKind::Upstream, name).expect("a name"), value }
 }
 
 /// A replica server takes repairs, which change records within one version.
@@ -198,8 +200,8 @@
     let state = State::new(options, Store::new(0, Limits::default()), None);
     let update = |value| Update {
         version: Version { epoch: 7, revision: 5 },
-        whole: false,
-        more: false,
+        is_whole_state: false,
+        has_more: false,
         digest: Some(Digest(0)),
         changes: vec![record("a", value, 5)],
     };
--- a/crates/pondlb-control-net/tests/common/mod.rs
+++ b/crates/pondlb-control-net/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use pondlb_control::{Key, Kind, NewChange, Update, Version};
+use pondlb_control::{Key, NewChange, RecordKind, Update, Version};
 use pondlb_control_net::{Delivered, Following, Role, Server, ServerOptions, Status, check_shape, follow};
 use pondlb_http::{Message, MessageReader, request_framing, response_framing};
 use serde_json::value::RawValue;
@@ -42,7 +42,7 @@
 }
 
 pub fn upstream(name: &str) -> Key {
-    Key::new(Kind::Upstream, name).unwrap()
+    Key::new(RecordKind::Upstream, name).unwrap()
 }
 
 pub fn set(name: &str, size: u64) -> NewChange {
--- a/crates/pondlb-control-net/tests/compression.rs
+++ b/crates/pondlb-control-net/tests/compression.rs
@@ -216,11 +216,11 @@
     scripted_bytes(move |target| {
         calls.set(calls.get() + 1);
         let content = if target.starts_with("/control/snapshot") {
-            serde_json::to_string(&store.snapshot(None, 1 << 16)).unwrap()
+            serde_json::to_string(&store.snapshot_page(None, 1 << 16)).unwrap()
         } else {
             let number = |name| parameter(target, name).and_then(|text| text.parse().ok()).unwrap_or(0);
             let from = Version { epoch: number("epoch"), revision: number("from") };
-            serde_json::to_string(&store.changes(from, 1 << 14)).unwrap()
+            serde_json::to_string(&store.changes_since(from, 1 << 14)).unwrap()
         };
         Some(match spoiled {
             Some(spoiled) => spoil(spoiled, &content),
--- a/crates/pondlb-control-net/tests/faults.rs
+++ b/crates/pondlb-control-net/tests/faults.rs
@@ -104,7 +104,7 @@
         match target.split('?').next().unwrap_or_default() {
             "/control/changes" => {
                 let from = Version { epoch: number("epoch"), revision: number("from") };
-                let answer = serde_json::to_value(store.changes(from, 1 << 20)).unwrap();
+                let answer = serde_json::to_value(store.changes_since(from, 1 << 20)).unwrap();
                 let is_news = answer["changes"].as_array().is_some_and(|changes| !changes.is_empty());
                 match fault.take() {
                     Some(fault) if is_news => garble(fault, answer),
@@ -115,11 +115,11 @@
                 }
             }
             "/control/snapshot" => {
-                let after = parameter(target, "after").map(|key| Key::parse_encoded(key).unwrap());
-                serde_json::to_string(&store.snapshot(after.as_ref(), 1 << 16)).unwrap()
+                let after = parameter(target, "after").map(|key| Key::parse_percent_encoded(key).unwrap());
+                serde_json::to_string(&store.snapshot_page(after.as_ref(), 1 << 16)).unwrap()
             }
-            "/control/digests" => serde_json::to_string(&store.digests()).unwrap(),
-            _ => serde_json::to_string(&store.bucket(number("bucket") as usize)).unwrap(),
+            "/control/digests" => serde_json::to_string(&store.bucket_digests()).unwrap(),
+            _ => serde_json::to_string(&store.bucket_records(number("bucket") as usize)).unwrap(),
         }
     }
 }
--- a/crates/pondlb-control/src/commit.rs
+++ b/crates/pondlb-control/src/commit.rs
@@ -5,49 +5,49 @@
 use serde_json::value::RawValue;
 
 use crate::json::{NULL, compact_value};
-use crate::{Check, Key, Limits, NewChange};
+use crate::{Key, Limits, NewChange, RecordValidator};
 
 /// Why nothing of a commit is taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
     /// The store numbers no changes: it has no epoch of its own.
     #[error("this server has no epoch of its own to number changes in")]
-    NoEpoch,
+    NotOrigin,
     /// There would be more records than the store takes.
-    #[error("{records} records are more than {most}")]
+    #[error("{records} records are more than {max}")]
     TooManyRecords {
         /// How many there would be.
         records: usize,
         /// How many the store takes.
-        most: usize,
+        max: usize,
     },
     /// A value is longer than the store takes.
-    #[error("{key}: {bytes} bytes of value are more than {most}")]
+    #[error("{key}: {bytes} bytes of value are more than {max}")]
     ValueTooLong {
         /// Whose value.
         key: Key,
         /// Its length.
         bytes: usize,
         /// How long it may be.
-        most: usize,
+        max: usize,
     },
     /// There would be more bytes of keys and values than the store takes.
-    #[error("{bytes} bytes of keys and values are more than {most}")]
+    #[error("{bytes} bytes of keys and values are more than {max}")]
     TooManyBytes {
         /// How many there would be.
         bytes: usize,
         /// How many the store takes.
-        most: usize,
+        max: usize,
     },
     /// A value is JSON's null, which stands for a removed record.
     #[error("{0}: a value can't be null")]
     NullValue(Key),
     /// A value is no JSON text.
     #[error("{0}: the value is no JSON")]
-    NoJson(Key),
+    InvalidJson(Key),
     /// The checker does not allow a change.
     #[error("{key}: {reason}")]
-    Refused {
+    InvalidRecord {
         /// Which record.
         key: Key,
         /// What the checker said.
@@ -68,7 +68,7 @@
 pub(crate) fn checked_values(
     changes: &[NewChange],
     limits: &Limits,
-    check: &Check<'_>,
+    check: &RecordValidator<'_>,
 ) -> Result<Vec<Option<Box<RawValue>>>, CommitError> {
     changes.iter().map(|change| checked_value(change, limits, check)).collect()
 }
@@ -76,19 +76,19 @@
 fn checked_value(
     NewChange { key, value }: &NewChange,
     limits: &Limits,
-    check: &Check<'_>,
+    check: &RecordValidator<'_>,
 ) -> Result<Option<Box<RawValue>>, CommitError> {
     let compacted = value.as_deref().map(compact_value).transpose();
-    let value = compacted.map_err(|_| CommitError::NoJson(key.clone()))?;
+    let value = compacted.map_err(|_| CommitError::InvalidJson(key.clone()))?;
     let text = value.as_deref().map(RawValue::get);
     if text == Some(NULL) {
         return Err(CommitError::NullValue(key.clone()));
     }
     let bytes = text.map_or(0, str::len);
-    if bytes > limits.value_bytes {
-        return Err(CommitError::ValueTooLong { key: key.clone(), bytes, most: limits.value_bytes });
+    if bytes > limits.max_value_bytes {
+        return Err(CommitError::ValueTooLong { key: key.clone(), bytes, max: limits.max_value_bytes });
     }
-    check(key, text).map_err(|reason| CommitError::Refused { key: key.clone(), reason })?;
+    check(key, text).map_err(|reason| CommitError::InvalidRecord { key: key.clone(), reason })?;
     Ok(value)
 }
 
@@ -118,11 +118,11 @@
 impl Extent {
     /// Whether the limits allow so much.
     pub(crate) fn keep(&self, limits: &Limits) -> Result<(), CommitError> {
-        if self.records > limits.records {
-            return Err(CommitError::TooManyRecords { records: self.records, most: limits.records });
+        if self.records > limits.max_records {
+            return Err(CommitError::TooManyRecords { records: self.records, max: limits.max_records });
         }
-        if self.bytes > limits.total_bytes {
-            return Err(CommitError::TooManyBytes { bytes: self.bytes, most: limits.total_bytes });
+        if self.bytes > limits.max_total_bytes {
+            return Err(CommitError::TooManyBytes { bytes: self.bytes, max: limits.max_total_bytes });
         }
         Ok(())
     }
--- a/crates/pondlb-control/src/digest.rs
+++ b/crates/pondlb-control/src/digest.rs
@@ -7,7 +7,7 @@
 use crate::Key;
 
 /// Over how many buckets the records are spread by their keys.
-pub const BUCKETS: usize = 512;
+pub const BUCKET_COUNT: usize = 512;
 
 /// Stands between key and value in what is hashed; occurs in neither.
 const SEPARATOR: u8 = 0;
@@ -24,7 +24,7 @@
 
     /// The bucket of the key's record.
     pub(crate) fn bucket(self) -> usize {
-        self.0 as usize % BUCKETS
+        self.0 as usize % BUCKET_COUNT
     }
 
     /// Tells most keys of one bucket from each other: the half of the hash that does not choose the bucket.
--- a/crates/pondlb-control/src/held.rs
+++ b/crates/pondlb-control/src/held.rs
@@ -5,13 +5,13 @@
 use crate::digest::{KeyHash, record_hash};
 use crate::json::NULL;
 use crate::record_hashes::RecordHashes;
-use crate::{Change, ChangesAnswer, Check, Digest, Key, Limits, Names, Rejection, Version};
+use crate::{Change, ChangesResponse, Digest, Key, KeyInterner, Limits, RecordValidator, Rejection, Version};
 
 /// The records that a replica has in force.
 #[derive(Debug)]
 pub(crate) struct Held {
     pub(crate) limits: Limits,
-    pub(crate) names: Names,
+    pub(crate) names: KeyInterner,
     pub(crate) version: Version,
     pub(crate) records: RecordHashes,
 }
@@ -47,7 +47,11 @@
 
 impl Held {
     /// Whether the limits and the checker allow a value. One that is in force is not checked again.
-    pub(crate) fn verify_value(&self, hashed: &HashedChange, check: &Check<'_>) -> Result<(), Rejection> {
+    pub(crate) fn verify_value(
+        &self,
+        hashed: &HashedChange,
+        check: &RecordValidator<'_>,
+    ) -> Result<(), Rejection> {
         let Change { key, value, .. } = &hashed.change;
         if self.hash_in_force(hashed) == hashed.hash {
             return Ok(());
@@ -57,10 +61,14 @@
             return Err(Rejection::MissingValue(key.clone()));
         }
         let bytes = text.map_or(0, str::len);
-        if bytes > self.limits.value_bytes {
-            return Err(Rejection::ValueTooLong { key: key.clone(), bytes, most: self.limits.value_bytes });
+        if bytes > self.limits.max_value_bytes {
+            return Err(Rejection::ValueTooLong {
+                key: key.clone(),
+                bytes,
+                max: self.limits.max_value_bytes,
+            });
         }
-        check(key, text).map_err(|reason| Rejection::Refused { key: key.clone(), reason })
+        check(key, text).map_err(|reason| Rejection::InvalidRecord { key: key.clone(), reason })
     }
 
     /// The hash that the record has as it is in force.
@@ -96,7 +104,7 @@
     pub(crate) fn apply(&mut self, HashedChange { change, key_hash, hash }: &HashedChange) {
         match hash {
             Some(hash) => {
-                self.records.set(&change.key, *key_hash, *hash, |key| self.names.share(key.clone()));
+                self.records.set(&change.key, *key_hash, *hash, |key| self.names.intern(key.clone()));
             }
             None => self.records.remove(&change.key, *key_hash),
         }
@@ -105,40 +113,40 @@
 
 /// Whether the limits allow so many records.
 pub(crate) fn verify_count(records: usize, limits: &Limits) -> Result<(), Rejection> {
-    let most = limits.records;
-    if records > most { Err(Rejection::TooManyRecords { records, most }) } else { Ok(()) }
+    let most = limits.max_records;
+    if records > most { Err(Rejection::TooManyRecords { records, max: most }) } else { Ok(()) }
 }
 
 /// Whether an answered version is no older than a held one.
 pub(crate) fn verify_not_older(answered: Version, held: Version) -> Result<(), Rejection> {
     if answered.epoch == 0 {
-        return Err(Rejection::NoState);
+        return Err(Rejection::ServerWithoutState);
     }
     if answered.epoch < held.epoch {
-        return Err(Rejection::OlderEpoch { answered, held });
+        return Err(Rejection::OlderEpoch { received: answered, active: held });
     }
     if answered < held {
-        return Err(Rejection::OlderRevision { answered, held });
+        return Err(Rejection::OlderRevision { received: answered, active: held });
     }
     Ok(())
 }
 
 /// Whether changes follow on the revision that was asked for, in ascending order and each of another record.
 pub(crate) fn verify_changes(
-    answer: &ChangesAnswer,
+    answer: &ChangesResponse,
     changes: &[HashedChange],
     asked: u64,
 ) -> Result<(), Rejection> {
-    if answer.from != asked {
-        return Err(Rejection::WrongFrom { answered: answer.from, asked });
+    if answer.from_revision != asked {
+        return Err(Rejection::WrongBaseRevision { received: answer.from_revision, requested: asked });
     }
-    if answer.more && changes.is_empty() {
-        return Err(Rejection::EmptyPiece);
+    if answer.has_more && changes.is_empty() {
+        return Err(Rejection::EmptyPage);
     }
     let mut before = asked;
     for Change { revision, key, .. } in changes.iter().map(|hashed| &hashed.change) {
         if *revision <= before || *revision > answer.version.revision {
-            return Err(Rejection::WrongRevision { key: key.clone(), revision: *revision });
+            return Err(Rejection::InvalidRevision { key: key.clone(), revision: *revision });
         }
         before = *revision;
     }
@@ -154,7 +162,7 @@
     // Two keys may have one hash, so only their texts tell.
     let mut keys = BTreeSet::new();
     let doubled = changes.iter().find(|hashed| !keys.insert(&hashed.change.key));
-    doubled.map_or(Ok(()), |hashed| Err(Rejection::DoubledKey(hashed.change.key.clone())))
+    doubled.map_or(Ok(()), |hashed| Err(Rejection::DuplicateKey(hashed.change.key.clone())))
 }
 
 /// Whether records of a snapshot or bucket have values, known revisions, and keys that ascend from `after` on.
@@ -173,7 +181,7 @@
             return Err(Rejection::MissingValue(key.clone()));
         }
         if *revision > version.revision {
-            return Err(Rejection::WrongRevision { key: key.clone(), revision: *revision });
+            return Err(Rejection::InvalidRevision { key: key.clone(), revision: *revision });
         }
     }
     Ok(())
--- a/crates/pondlb-control/src/key.rs
+++ b/crates/pondlb-control/src/key.rs
@@ -10,11 +10,11 @@
 use crate::percent;
 
 /// The longest name of a record, in bytes.
-pub const LONGEST_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 
 /// What a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RecordKind {
     /// One upstream, in discovery's form of an entry.
     Upstream,
     /// One class of requests, in the form of an entry of `Schemes` in the settings.
@@ -25,15 +25,16 @@
     Limit,
 }
 
-impl Kind {
-    const ALL: [Kind; 4] = [Kind::Upstream, Kind::Class, Kind::Tenant, Kind::Limit];
+impl RecordKind {
+    const ALL: [RecordKind; 4] =
+        [RecordKind::Upstream, RecordKind::Class, RecordKind::Tenant, RecordKind::Limit];
 
     pub(crate) fn prefix(self) -> &'static str {
         match self {
-            Kind::Upstream => "upstream/",
-            Kind::Class => "class/",
-            Kind::Tenant => "tenant/",
-            Kind::Limit => "limit/",
+            RecordKind::Upstream => "upstream/",
+            RecordKind::Class => "class/",
+            RecordKind::Tenant => "tenant/",
+            RecordKind::Limit => "limit/",
         }
     }
 }
@@ -49,16 +50,16 @@
     #[error("{0:?} begins with no known kind")]
     UnknownKind(String),
     /// The name is empty, too long, or holds other than printable ASCII.
-    #[error("{0:?} holds no name of 1 to {LONGEST_NAME} printable ASCII characters")]
-    BadName(String),
+    #[error("{0:?} holds no name of 1 to {MAX_NAME_BYTES} printable ASCII characters")]
+    InvalidName(String),
 }
 
 impl Key {
     /// The key of a record of this kind and name.
     ///
     /// # Errors
-    /// [`KeyError::BadName`] where the name is empty, longer than [`LONGEST_NAME`] or not printable ASCII.
-    pub fn new(kind: Kind, name: &str) -> Result<Key, KeyError> {
+    /// [`KeyError::InvalidName`] where the name is empty, longer than [`MAX_NAME_BYTES`] or not printable ASCII.
+    pub fn new(kind: RecordKind, name: &str) -> Result<Key, KeyError> {
         verify_name(name)?;
         Ok(Key(format!("{}{name}", kind.prefix()).into()))
     }
@@ -68,7 +69,7 @@
     /// # Errors
     /// [`KeyError`] where it begins with no known kind, or what follows is no name.
     pub fn parse(text: &str) -> Result<Key, KeyError> {
-        let name = Kind::ALL.into_iter().find_map(|kind| text.strip_prefix(kind.prefix()));
+        let name = RecordKind::ALL.into_iter().find_map(|kind| text.strip_prefix(kind.prefix()));
         verify_name(name.ok_or_else(|| KeyError::UnknownKind(text.to_string()))?)?;
         Ok(Key(text.into()))
     }
@@ -77,15 +78,15 @@
     ///
     /// # Errors
     /// [`KeyError`] as from [`Key::parse`], also where the encoding is wrong.
-    pub fn parse_encoded(encoded: &str) -> Result<Key, KeyError> {
-        let text = percent::decode(encoded).ok_or_else(|| KeyError::BadName(encoded.to_string()))?;
+    pub fn parse_percent_encoded(encoded: &str) -> Result<Key, KeyError> {
+        let text = percent::decode(encoded).ok_or_else(|| KeyError::InvalidName(encoded.to_string()))?;
         Key::parse(&text)
     }
 
     /// What the record describes.
-    pub fn kind(&self) -> Kind {
-        let is_meant = |kind: &Kind| self.0.starts_with(kind.prefix());
-        Kind::ALL.into_iter().find(is_meant).unwrap_or(Kind::Limit)
+    pub fn kind(&self) -> RecordKind {
+        let is_meant = |kind: &RecordKind| self.0.starts_with(kind.prefix());
+        RecordKind::ALL.into_iter().find(is_meant).unwrap_or(RecordKind::Limit)
     }
 
     /// The name without its kind.
@@ -99,7 +100,7 @@
     }
 
     /// The same key in an allocation that is shared with others.
-    pub fn shared(&self) -> Rc<str> {
+    pub fn to_rc_str(&self) -> Rc<str> {
         self.0.clone()
     }
 
@@ -110,8 +111,8 @@
 }
 
 fn verify_name(name: &str) -> Result<(), KeyError> {
-    if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(KeyError::BadName(name.to_string()));
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(KeyError::InvalidName(name.to_string()));
     }
     Ok(())
 }
--- a/crates/pondlb-control/src/lib.rs
+++ b/crates/pondlb-control/src/lib.rs
@@ -25,17 +25,17 @@
 mod update;
 
 pub use commit::CommitError;
-pub use digest::BUCKETS;
-pub use key::{Key, KeyError, Kind, LONGEST_NAME};
+pub use digest::BUCKET_COUNT;
+pub use key::{Key, KeyError, MAX_NAME_BYTES, RecordKind};
 pub use limits::Limits;
 pub use message::{
-    BucketAnswer, Call, Change, ChangesAnswer, Commit, Committed, Digest, DigestsAnswer, Hold, NewChange,
-    SnapshotAnswer, Version,
+    BucketResponse, Change, ChangesResponse, CommitRequest, CommitResponse, Digest, DigestsResponse,
+    LongPoll, NewChange, ReplicaRequest, SnapshotResponse, Version,
 };
-pub use names::Names;
-pub use pending::PendingAnswer;
+pub use names::KeyInterner;
+pub use pending::PendingResponse;
 pub use rejection::Rejection;
-pub use replica::{Answer, Check, Progress, Replica};
+pub use replica::{Progress, RecordValidator, Replica, ReplicaResponse};
 pub use rotation::Rotation;
 pub use store::Store;
 pub use update::Update;
--- a/crates/pondlb-control/src/limits.rs
+++ b/crates/pondlb-control/src/limits.rs
@@ -4,19 +4,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The most records.
-    pub records: usize,
+    pub max_records: usize,
     /// The longest value, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// The most bytes of all keys and values. A replica, which holds no values, bounds by it what a
     /// staged snapshot holds of them.
-    pub total_bytes: usize,
+    pub max_total_bytes: usize,
     /// How many removed records a store remembers; a caller that needs an older one takes a snapshot.
-    pub tombstones: usize,
+    pub max_tombstones: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { records: 200_000, value_bytes: 64 << 10, total_bytes: 256 << 20, tombstones: 100_000 }
+        Limits {
+            max_records: 200_000,
+            max_value_bytes: 64 << 10,
+            max_total_bytes: 256 << 20,
+            max_tombstones: 100_000,
+        }
     }
 }
 
@@ -27,8 +32,8 @@
         if !more {
             return *self;
         }
-        let records = self.records.saturating_mul(2);
-        let total_bytes = self.total_bytes.saturating_mul(2);
-        Limits { records, total_bytes, ..*self }
+        let records = self.max_records.saturating_mul(2);
+        let total_bytes = self.max_total_bytes.saturating_mul(2);
+        Limits { max_records: records, max_total_bytes: total_bytes, ..*self }
     }
 }
--- a/crates/pondlb-control/src/message.rs
+++ b/crates/pondlb-control/src/message.rs
@@ -61,20 +61,21 @@
     pub value: Option<Box<RawValue>>,
 }
 
-/// The answer to [`Call::Changes`].
+/// The answer to [`ReplicaRequest::Changes`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ChangesAnswer {
+pub struct ChangesResponse {
     /// The version that holds with these changes.
     #[serde(flatten)]
     pub version: Version,
     /// The revision that they follow on; the caller's own.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub from_revision: u64,
     /// The caller's version is of another epoch, or too old to be followed on: it has to take a snapshot.
     #[serde(default)]
     pub reset: bool,
     /// More changes follow; the next call brings them at once.
-    #[serde(default)]
-    pub more: bool,
+    #[serde(default, rename = "more")]
+    pub has_more: bool,
     /// Digest of all records at this version; none while more follows.
     pub digest: Option<Digest>,
     /// For how many milliseconds the server has not heard from the origin; 0 at the origin itself.
@@ -87,19 +88,20 @@
 /// A piece of the whole state. Pieces may be of different revisions: a caller that has them all follows the changes
 /// since the first piece, and only then compares digests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SnapshotAnswer {
+pub struct SnapshotResponse {
     /// The version at which the piece was read.
     #[serde(flatten)]
     pub version: Version,
     /// In ascending order of their keys.
     pub records: Vec<Change>,
     /// The last key of the piece, for the next call; none where this is the last piece.
-    pub next: Option<Key>,
+    #[serde(rename = "next")]
+    pub next_after: Option<Key>,
 }
 
 /// The digests of all buckets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DigestsAnswer {
+pub struct DigestsResponse {
     /// The version at which they hold.
     #[serde(flatten)]
     pub version: Version,
@@ -109,7 +111,7 @@
 
 /// All records of one bucket.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BucketAnswer {
+pub struct BucketResponse {
     /// The version at which they hold.
     #[serde(flatten)]
     pub version: Version,
@@ -130,14 +132,14 @@
 
 /// The body of `POST /control/commit`: taken all or nothing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Commit {
+pub struct CommitRequest {
     /// In the order in which they are numbered.
     pub changes: Vec<NewChange>,
 }
 
 /// The answer to a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Committed {
+pub struct CommitResponse {
     /// The version that holds with it.
     #[serde(flatten)]
     pub version: Version,
@@ -145,7 +147,7 @@
 
 /// Whether a server may wait for news before it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum LongPoll {
     /// It answers at once.
     No,
     /// It may wait so long.
@@ -154,7 +156,7 @@
 
 /// What a replica asks of a control server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ReplicaRequest {
     /// What is newer than a version.
     Changes {
         /// The caller's version.
@@ -162,7 +164,7 @@
         /// The digest of what the caller holds.
         digest: Digest,
         /// Whether the server may wait for news.
-        hold: Hold,
+        hold: LongPoll,
     },
     /// A piece of the whole state: the records behind a key, or the first ones.
     Snapshot {
@@ -175,26 +177,26 @@
     Bucket(usize),
 }
 
-impl Call {
+impl ReplicaRequest {
     /// The target of the request: path and query, keys and names percent-encoded. `name` is the caller's, for the server's table of followers.
     pub fn target(&self, name: &str) -> String {
         let name = percent::encode(name);
         match self {
-            Call::Changes { from: Version { epoch, revision }, digest, hold } => {
+            ReplicaRequest::Changes { from: Version { epoch, revision }, digest, hold } => {
                 let hold_ms = match hold {
-                    Hold::No => 0,
-                    Hold::UpTo(hold) => hold.as_millis(),
+                    LongPoll::No => 0,
+                    LongPoll::UpTo(hold) => hold.as_millis(),
                 };
                 format!(
                     "/control/changes?name={name}&epoch={epoch}&from={revision}&digest={digest}&hold_ms={hold_ms}"
                 )
             }
-            Call::Snapshot { after: None } => "/control/snapshot".into(),
-            Call::Snapshot { after: Some(after) } => {
+            ReplicaRequest::Snapshot { after: None } => "/control/snapshot".into(),
+            ReplicaRequest::Snapshot { after: Some(after) } => {
                 format!("/control/snapshot?after={}", percent::encode(after.as_str()))
             }
-            Call::Digests => "/control/digests".into(),
-            Call::Bucket(bucket) => format!("/control/bucket?bucket={bucket}"),
+            ReplicaRequest::Digests => "/control/digests".into(),
+            ReplicaRequest::Bucket(bucket) => format!("/control/bucket?bucket={bucket}"),
         }
     }
 }
--- a/crates/pondlb-control/src/names.rs
+++ b/crates/pondlb-control/src/names.rs
@@ -13,7 +13,7 @@
 
 /// Shares equal keys between the replicas of one process. Clones share the same table.
 #[derive(Clone, Debug, Default)]
-pub struct Names(Rc<RefCell<Table>>);
+pub struct KeyInterner(Rc<RefCell<Table>>);
 
 #[derive(Debug, Default)]
 struct Table {
@@ -21,9 +21,9 @@
     prune_at: usize,
 }
 
-impl Names {
+impl KeyInterner {
     /// The same key in the allocation that all replicas share.
-    pub fn share(&self, key: Key) -> Key {
+    pub fn intern(&self, key: Key) -> Key {
         let mut table = self.0.borrow_mut();
         if let Some(shared) = table.keys.get(&key) {
             return shared.clone();
--- a/crates/pondlb-control/src/pending.rs
+++ b/crates/pondlb-control/src/pending.rs
@@ -1,13 +1,13 @@
 //! Answers on their way into a replica, whose records are hashed and checked a slice at a time.
 
 use crate::held::{HashedChange, Held};
-use crate::{Answer, Change, Check, Rejection};
+use crate::{Change, RecordValidator, Rejection, ReplicaResponse};
 
-/// An answer whose records are being hashed and checked: see [`Replica::check_slice`](crate::Replica::check_slice).
+/// An answer whose records are being hashed and checked: see [`Replica::validate_batch`](crate::Replica::validate_batch).
 #[derive(Debug)]
-pub struct PendingAnswer {
+pub struct PendingResponse {
     /// Without its records.
-    pub(crate) answer: Answer,
+    pub(crate) answer: ReplicaResponse,
     unchecked: std::vec::IntoIter<Change>,
     checked: CheckedRecords,
 }
@@ -19,40 +19,44 @@
     rejection: Option<Rejection>,
 }
 
-impl PendingAnswer {
+impl PendingResponse {
     /// An answer of which nothing is checked yet.
-    pub fn new(mut answer: Answer) -> PendingAnswer {
+    pub fn new(mut answer: ReplicaResponse) -> PendingResponse {
         let records = match &mut answer {
-            Answer::Changes(answer) => std::mem::take(&mut answer.changes),
-            Answer::Snapshot(answer) => std::mem::take(&mut answer.records),
-            Answer::Bucket(answer) => std::mem::take(&mut answer.records),
-            Answer::Digests(_) => Vec::new(),
+            ReplicaResponse::Changes(answer) => std::mem::take(&mut answer.changes),
+            ReplicaResponse::Snapshot(answer) => std::mem::take(&mut answer.records),
+            ReplicaResponse::Bucket(answer) => std::mem::take(&mut answer.records),
+            ReplicaResponse::Digests(_) => Vec::new(),
         };
         let checked = CheckedRecords { records: Vec::with_capacity(records.len()), rejection: None };
-        PendingAnswer { answer, unchecked: records.into_iter(), checked }
+        PendingResponse { answer, unchecked: records.into_iter(), checked }
     }
 
     /// Whether all records are hashed and checked.
-    pub fn is_checked(&self) -> bool {
+    pub fn is_validated(&self) -> bool {
         self.unchecked.as_slice().is_empty()
     }
 
     /// Hashes and checks the next records, at most so many.
-    pub(crate) fn check_slice(&mut self, held: &Held, check: &Check<'_>, most: usize) {
+    pub(crate) fn check_slice(&mut self, held: &Held, check: &RecordValidator<'_>, most: usize) {
         for change in self.unchecked.by_ref().take(most) {
             self.checked.push(HashedChange::new(change), held, check);
         }
     }
 
     /// The answer and its records, all of them checked.
-    pub(crate) fn into_checked(mut self, held: &Held, check: &Check<'_>) -> (Answer, CheckedRecords) {
+    pub(crate) fn into_checked(
+        mut self,
+        held: &Held,
+        check: &RecordValidator<'_>,
+    ) -> (ReplicaResponse, CheckedRecords) {
         self.check_slice(held, check, usize::MAX);
         (self.answer, self.checked)
     }
 }
 
 impl CheckedRecords {
-    fn push(&mut self, record: HashedChange, held: &Held, check: &Check<'_>) {
+    fn push(&mut self, record: HashedChange, held: &Held, check: &RecordValidator<'_>) {
         if self.rejection.is_none() {
             self.rejection = held.verify_value(&record, check).err();
         }
--- a/crates/pondlb-control/src/record_hashes.rs
+++ b/crates/pondlb-control/src/record_hashes.rs
@@ -1,6 +1,6 @@
 //! The hashes of a set of records, by bucket.
 
-use crate::digest::{BUCKETS, KeyHash};
+use crate::digest::{BUCKET_COUNT, KeyHash};
 use crate::{Digest, Key};
 
 /// A bucket that is full makes room for this part of what it holds, and for a few records at least.
@@ -36,7 +36,7 @@
 impl RecordHashes {
     /// Those of no record.
     pub(crate) fn new() -> RecordHashes {
-        RecordHashes { buckets: vec![Bucket::default(); BUCKETS], digest: 0, len: 0 }
+        RecordHashes { buckets: vec![Bucket::default(); BUCKET_COUNT], digest: 0, len: 0 }
     }
 
     /// The same records without the room that growing has left.
--- a/crates/pondlb-control/src/rejection.rs
+++ b/crates/pondlb-control/src/rejection.rs
@@ -7,37 +7,37 @@
 pub enum Rejection {
     /// The answer is not of the kind that was asked for.
     #[error("the answer does not belong to the call that was made")]
-    WrongKind,
+    UnexpectedResponse,
     /// The server itself holds no state yet.
     #[error("the server holds no state yet")]
-    NoState,
+    ServerWithoutState,
     /// The server is at an older epoch.
-    #[error("version {answered} is of an older epoch than {held}")]
+    #[error("version {received} is of an older epoch than {active}")]
     OlderEpoch {
         /// The server's version.
-        answered: Version,
+        received: Version,
         /// The caller's version.
-        held: Version,
+        active: Version,
     },
     /// The server is at an older revision of the same epoch.
-    #[error("version {answered} is older than {held}")]
+    #[error("version {received} is older than {active}")]
     OlderRevision {
         /// The server's version.
-        answered: Version,
+        received: Version,
         /// The caller's version.
-        held: Version,
+        active: Version,
     },
     /// The changes follow on another revision than the caller's.
-    #[error("changes since {answered}, asked for those since {asked}")]
-    WrongFrom {
+    #[error("changes since {received}, asked for those since {requested}")]
+    WrongBaseRevision {
         /// What the changes follow on.
-        answered: u64,
+        received: u64,
         /// What was asked for.
-        asked: u64,
+        requested: u64,
     },
     /// A revision does not ascend, or lies outside of what the answer covers.
     #[error("{key}: revision {revision} is out of order or out of range")]
-    WrongRevision {
+    InvalidRevision {
         /// Which record.
         key: Key,
         /// Its revision.
@@ -45,77 +45,77 @@
     },
     /// Two changes of one record.
     #[error("{0}: changed twice in one answer")]
-    DoubledKey(Key),
+    DuplicateKey(Key),
     /// More changes are promised, and this answer brings none.
     #[error("a piece without changes")]
-    EmptyPiece,
+    EmptyPage,
     /// A record's key is not above the one before.
     #[error("{0}: not in ascending order")]
     KeyOutOfOrder(Key),
     /// The key to go on from is not that of the last record.
     #[error("{0}: not the last record of the piece")]
-    WrongNext(Key),
+    WrongNextKey(Key),
     /// A record has no value where it must have one.
     #[error("{0}: no value")]
     MissingValue(Key),
     /// A value is longer than is taken.
-    #[error("{key}: {bytes} bytes of value are more than {most}")]
+    #[error("{key}: {bytes} bytes of value are more than {max}")]
     ValueTooLong {
         /// Whose value.
         key: Key,
         /// Its length.
         bytes: usize,
         /// How long it may be.
-        most: usize,
+        max: usize,
     },
     /// The checker does not allow a value.
     #[error("{key}: {reason}")]
-    Refused {
+    InvalidRecord {
         /// Which record.
         key: Key,
         /// What the checker said.
         reason: String,
     },
     /// There would be more records than are taken.
-    #[error("{records} records are more than {most}")]
+    #[error("{records} records are more than {max}")]
     TooManyRecords {
         /// How many there would be.
         records: usize,
         /// How many are taken.
-        most: usize,
+        max: usize,
     },
     /// A snapshot has more bytes of keys and values than are taken.
-    #[error("{bytes} bytes of keys and values are more than {most}")]
+    #[error("{bytes} bytes of keys and values are more than {max}")]
     TooManyBytes {
         /// How many there would be.
         bytes: usize,
         /// How many are taken.
-        most: usize,
+        max: usize,
     },
     /// The number of bucket digests is wrong.
     #[error("digests of {0} buckets")]
     WrongBucketCount(usize),
     /// Records of another bucket than was asked for.
-    #[error("bucket {answered}, asked for {asked}")]
+    #[error("bucket {received}, asked for {requested}")]
     WrongBucket {
         /// Which bucket came.
-        answered: usize,
+        received: usize,
         /// Which one was asked for.
-        asked: usize,
+        requested: usize,
     },
     /// A record does not belong to the bucket that it came with.
     #[error("{key}: not of bucket {bucket}")]
-    ForeignRecord {
+    RecordInWrongBucket {
         /// Which record.
         key: Key,
         /// Which bucket it came with.
         bucket: usize,
     },
     /// What came does not have the digest that the server told.
-    #[error("digest {computed} of what came, {told} was told")]
-    WrongDigest {
+    #[error("digest {computed} of what came, {expected} was told")]
+    DigestMismatch {
         /// What the server told.
-        told: Digest,
+        expected: Digest,
         /// What the records have.
         computed: Digest,
     },
--- a/crates/pondlb-control/src/repair.rs
+++ b/crates/pondlb-control/src/repair.rs
@@ -4,7 +4,9 @@
 
 use crate::held::{HashedChange, Held, verify_count, verify_not_older, verify_records};
 use crate::pending::CheckedRecords;
-use crate::{BucketAnswer, Call, Check, Digest, DigestsAnswer, Key, Rejection, Version};
+use crate::{
+    BucketResponse, Digest, DigestsResponse, Key, RecordValidator, Rejection, ReplicaRequest, Version,
+};
 
 /// A repair on its way. The changes of the answer whose digest was wrong are part of it: they are put in force with
 /// it or not at all.
@@ -55,18 +57,18 @@
         }
     }
 
-    pub(crate) fn next_call(&self) -> Call {
-        self.unread.last().map_or(Call::Digests, |bucket| Call::Bucket(*bucket))
+    pub(crate) fn next_call(&self) -> ReplicaRequest {
+        self.unread.last().map_or(ReplicaRequest::Digests, |bucket| ReplicaRequest::Bucket(*bucket))
     }
 
     /// Takes the digests of all buckets.
     pub(crate) fn receive_digests(
         &mut self,
-        answer: DigestsAnswer,
+        answer: DigestsResponse,
         held: &Held,
     ) -> Result<RepairStep, Rejection> {
         if !self.unread.is_empty() {
-            return Err(Rejection::WrongKind);
+            return Err(Rejection::UnexpectedResponse);
         }
         verify_not_older(answer.version, self.version)?;
         if answer.version > self.version {
@@ -86,14 +88,14 @@
     /// Takes the records of the bucket that was asked for.
     pub(crate) fn receive_bucket(
         &mut self,
-        answer: BucketAnswer,
+        answer: BucketResponse,
         records: CheckedRecords,
         held: &Held,
-        check: &Check<'_>,
+        check: &RecordValidator<'_>,
     ) -> Result<RepairStep, Rejection> {
-        let Some(&asked) = self.unread.last() else { return Err(Rejection::WrongKind) };
+        let Some(&asked) = self.unread.last() else { return Err(Rejection::UnexpectedResponse) };
         if answer.bucket != asked {
-            return Err(Rejection::WrongBucket { answered: answer.bucket, asked });
+            return Err(Rejection::WrongBucket { received: answer.bucket, requested: asked });
         }
         verify_not_older(answer.version, self.version)?;
         if answer.version > self.version {
@@ -101,7 +103,7 @@
         }
         verify_records(&records.records, answer.version, None)?;
         if let Some(foreign) = records.records.iter().find(|record| record.key_hash.bucket() != asked) {
-            return Err(Rejection::ForeignRecord { key: foreign.change.key.clone(), bucket: asked });
+            return Err(Rejection::RecordInWrongBucket { key: foreign.change.key.clone(), bucket: asked });
         }
         let records = records.accepted()?;
         verify_digest(self.told[asked], records.iter().filter_map(|record| record.hash.map(Digest)))?;
@@ -122,7 +124,7 @@
         let outlook = held.outlook(&changes);
         verify_count(outlook.records, &held.limits)?;
         if outlook.digest != self.digest {
-            return Err(Rejection::WrongDigest { told: self.digest, computed: outlook.digest });
+            return Err(Rejection::DigestMismatch { expected: self.digest, computed: outlook.digest });
         }
         Ok(RepairStep::Complete(Repaired { version: self.version, digest: self.digest, changes }))
     }
@@ -137,5 +139,5 @@
 
 fn verify_digest(told: Digest, parts: impl Iterator<Item = Digest>) -> Result<(), Rejection> {
     let computed = Digest(parts.fold(0, |sum, Digest(part)| sum.wrapping_add(part)));
-    if computed == told { Ok(()) } else { Err(Rejection::WrongDigest { told, computed }) }
+    if computed == told { Ok(()) } else { Err(Rejection::DigestMismatch { expected: told, computed }) }
 }
--- a/crates/pondlb-control/src/replica.rs
+++ b/crates/pondlb-control/src/replica.rs
@@ -8,8 +8,8 @@
 use crate::repair::{Repair, RepairStep, Repaired};
 use crate::snapshot::{SnapshotStep, StagedSnapshot, WholeState};
 use crate::{
-    BucketAnswer, Call, Change, ChangesAnswer, Digest, DigestsAnswer, Hold, Key, Limits, Names,
-    PendingAnswer, Rejection, SnapshotAnswer, Update, Version,
+    BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, KeyInterner, Limits, LongPoll,
+    PendingResponse, Rejection, ReplicaRequest, SnapshotResponse, Update, Version,
 };
 
 /// After how many failed repairs in a row a snapshot is taken.
@@ -19,7 +19,7 @@
 const MOST_INTERRUPTIONS: u32 = 3;
 
 /// Says whether a value may be taken for a record, or a record be removed, and why not.
-pub type Check<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
+pub type RecordValidator<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
 
 /// Keeps up with a control server. It holds the keys and hashes of all records, and leaves their values to its
 /// consumer.
@@ -44,17 +44,17 @@
     Repair(Box<Repair>),
 }
 
-/// An answer to [`Replica::next_call`].
+/// An answer to [`Replica::next_request`].
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// To [`Call::Changes`].
-    Changes(ChangesAnswer),
-    /// To [`Call::Snapshot`].
-    Snapshot(SnapshotAnswer),
-    /// To [`Call::Digests`].
-    Digests(DigestsAnswer),
-    /// To [`Call::Bucket`].
-    Bucket(BucketAnswer),
+pub enum ReplicaResponse {
+    /// To [`ReplicaRequest::Changes`].
+    Changes(ChangesResponse),
+    /// To [`ReplicaRequest::Snapshot`].
+    Snapshot(SnapshotResponse),
+    /// To [`ReplicaRequest::Digests`].
+    Digests(DigestsResponse),
+    /// To [`ReplicaRequest::Bucket`].
+    Bucket(BucketResponse),
 }
 
 /// What an answer has led to.
@@ -70,7 +70,7 @@
 
 impl Replica {
     /// A replica that holds nothing.
-    pub fn new(limits: Limits, names: Names) -> Replica {
+    pub fn new(limits: Limits, names: KeyInterner) -> Replica {
         Replica {
             held: Held { limits, names, version: Version::default(), records: RecordHashes::new() },
             phase: Phase::begin_snapshot(),
@@ -107,11 +107,11 @@
     }
 
     /// What to ask next. The server may hold its answer for `hold` unless more is known to be there.
-    pub fn next_call(&self, hold: Duration) -> Call {
+    pub fn next_request(&self, hold: Duration) -> ReplicaRequest {
         match &self.phase {
             Phase::Following { hurry } => {
-                let hold = if *hurry { Hold::No } else { Hold::UpTo(hold) };
-                Call::Changes { from: self.version(), digest: self.digest(), hold }
+                let hold = if *hurry { LongPoll::No } else { LongPoll::UpTo(hold) };
+                ReplicaRequest::Changes { from: self.version(), digest: self.digest(), hold }
             }
             Phase::Snapshot(staged) => staged.next_call(hold, self.digest()),
             Phase::Repair(repair) => repair.next_call(),
@@ -119,7 +119,7 @@
     }
 
     /// Another server answers from now on: a half-taken snapshot or repair starts over.
-    pub fn restart(&mut self) {
+    pub fn reset_for_new_server(&mut self) {
         self.interruptions = 0;
         match self.phase {
             Phase::Following { .. } => self.phase = Phase::Following { hurry: true },
@@ -128,17 +128,21 @@
         }
     }
 
-    /// Takes an answer to [`Replica::next_call`]; `check` says whether a value may be taken.
+    /// Takes an answer to [`Replica::next_request`]; `check` says whether a value may be taken.
     ///
     /// # Errors
     /// [`Rejection`] where nothing of it is taken. What was in force stays so.
-    pub fn receive(&mut self, answer: Answer, check: &Check<'_>) -> Result<Progress, Rejection> {
-        self.receive_checked(PendingAnswer::new(answer), check)
+    pub fn receive(
+        &mut self,
+        answer: ReplicaResponse,
+        check: &RecordValidator<'_>,
+    ) -> Result<Progress, Rejection> {
+        self.receive_validated(PendingResponse::new(answer), check)
     }
 
     /// Hashes and checks the next records of an answer, at most so many: for who has other things to do between.
-    /// Nothing of it is taken before [`Replica::receive_checked`].
-    pub fn check_slice(&self, pending: &mut PendingAnswer, check: &Check<'_>, most: usize) {
+    /// Nothing of it is taken before [`Replica::receive_validated`].
+    pub fn validate_batch(&self, pending: &mut PendingResponse, check: &RecordValidator<'_>, most: usize) {
         pending.check_slice(&self.held, check, most);
     }
 
@@ -146,26 +150,32 @@
     ///
     /// # Errors
     /// [`Rejection`] where nothing of it is taken. What was in force stays so.
-    pub fn receive_checked(
+    pub fn receive_validated(
         &mut self,
-        pending: PendingAnswer,
-        check: &Check<'_>,
+        pending: PendingResponse,
+        check: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
         let (answer, records) = pending.into_checked(&self.held, check);
         match answer {
-            Answer::Changes(answer) => self.receive_changes(answer, records, check),
-            Answer::Snapshot(answer) => {
-                let Phase::Snapshot(staged) = &mut self.phase else { return Err(Rejection::WrongKind) };
+            ReplicaResponse::Changes(answer) => self.receive_changes(answer, records, check),
+            ReplicaResponse::Snapshot(answer) => {
+                let Phase::Snapshot(staged) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
                 let step = staged.receive_piece(answer, records, &self.held);
                 self.go_on_with_snapshot(step)
             }
-            Answer::Digests(answer) => {
-                let Phase::Repair(repair) = &mut self.phase else { return Err(Rejection::WrongKind) };
+            ReplicaResponse::Digests(answer) => {
+                let Phase::Repair(repair) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
                 let step = repair.receive_digests(answer, &self.held);
                 self.go_on_with_repair(step)
             }
-            Answer::Bucket(answer) => {
-                let Phase::Repair(repair) = &mut self.phase else { return Err(Rejection::WrongKind) };
+            ReplicaResponse::Bucket(answer) => {
+                let Phase::Repair(repair) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
                 let step = repair.receive_bucket(answer, records, &self.held, check);
                 self.go_on_with_repair(step)
             }
@@ -174,9 +184,9 @@
 
     fn receive_changes(
         &mut self,
-        answer: ChangesAnswer,
+        answer: ChangesResponse,
         changes: CheckedRecords,
-        check: &Check<'_>,
+        check: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
         match &mut self.phase {
             Phase::Following { .. } => self.follow(answer, changes),
@@ -184,11 +194,11 @@
                 let step = staged.receive_changes(answer, changes, &self.held, check);
                 self.go_on_with_snapshot(step)
             }
-            Phase::Repair(_) => Err(Rejection::WrongKind),
+            Phase::Repair(_) => Err(Rejection::UnexpectedResponse),
         }
     }
 
-    fn follow(&mut self, answer: ChangesAnswer, changes: CheckedRecords) -> Result<Progress, Rejection> {
+    fn follow(&mut self, answer: ChangesResponse, changes: CheckedRecords) -> Result<Progress, Rejection> {
         verify_not_older(answer.version, self.held.version)?;
         if answer.version.epoch > self.held.version.epoch || answer.reset {
             self.phase = Phase::begin_snapshot();
@@ -197,14 +207,14 @@
         verify_changes(&answer, &changes.records, self.held.version.revision)?;
         let changes = changes.accepted()?;
         let outlook = self.held.outlook(&changes);
-        verify_count(outlook.records, &self.held.limits.at_piece(answer.more))?;
-        let told = answer.digest.filter(|_| !answer.more);
+        verify_count(outlook.records, &self.held.limits.at_piece(answer.has_more))?;
+        let told = answer.digest.filter(|_| !answer.has_more);
         if let Some(told) = told.filter(|told| *told != outlook.digest) {
             self.is_in_sync = false;
             self.phase = Phase::Repair(Box::new(Repair::new(answer.version, told, changes)));
             return Ok(Progress::Pending);
         }
-        self.phase = Phase::Following { hurry: answer.more };
+        self.phase = Phase::Following { hurry: answer.has_more };
         if told.is_some() {
             self.note_right_digest();
         }
@@ -212,7 +222,7 @@
         if changes.is_empty() && !is_news {
             return Ok(Progress::Unchanged);
         }
-        Ok(Progress::Applied(self.apply(answer.version, told, changes, answer.more)))
+        Ok(Progress::Applied(self.apply(answer.version, told, changes, answer.has_more)))
     }
 
     fn go_on_with_snapshot(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
@@ -221,7 +231,7 @@
             Ok(SnapshotStep::StartOver) => self.start_snapshot_over(),
             Ok(SnapshotStep::Complete(state)) => Ok(Progress::Applied(self.take_whole_state(*state))),
             Err(rejection) => {
-                if let Rejection::WrongDigest { .. } = rejection {
+                if let Rejection::DigestMismatch { .. } = rejection {
                     self.phase = Phase::begin_snapshot();
                 }
                 Err(rejection)
@@ -253,7 +263,7 @@
                     _ => Ok(Progress::Pending),
                 }
             }
-            Err(Rejection::WrongKind) => Err(Rejection::WrongKind),
+            Err(Rejection::UnexpectedResponse) => Err(Rejection::UnexpectedResponse),
             Err(rejection) => {
                 self.end_failed_repair();
                 Err(rejection)
@@ -288,7 +298,7 @@
         changes.iter().for_each(|change| self.held.apply(change));
         self.held.version = version;
         self.is_verified = digest.is_some();
-        Update { version, digest, whole: false, changes: without_hashes(changes), more }
+        Update { version, digest, is_whole_state: false, changes: without_hashes(changes), has_more: more }
     }
 
     /// Puts a whole state in force: by its differences where they are few, else as it was staged.
@@ -298,12 +308,12 @@
         self.phase = Phase::Following { hurry: false };
         let digest = Some(records.digest());
         if changes.len() <= self.len() / 2 {
-            return Update { whole: true, ..self.apply(version, digest, changes, false) };
+            return Update { is_whole_state: true, ..self.apply(version, digest, changes, false) };
         }
         self.held.records = records.compacted();
         self.held.version = version;
         self.is_verified = true;
-        Update { version, digest, whole: true, changes: without_hashes(changes), more: false }
+        Update { version, digest, is_whole_state: true, changes: without_hashes(changes), has_more: false }
     }
 }
 
--- a/crates/pondlb-control/src/rotation.rs
+++ b/crates/pondlb-control/src/rotation.rs
@@ -36,12 +36,12 @@
     }
 
     /// Which server to ask.
-    pub fn server(&self) -> usize {
+    pub fn current_server(&self) -> usize {
         self.order[self.position]
     }
 
     /// Goes on to the next server after a failed call, and says how long to wait first.
-    pub fn failed(&mut self) -> Duration {
+    pub fn fail_over(&mut self) -> Duration {
         let rounds = (self.failures / self.order.len()).min(16) as u32;
         self.failures = self.failures.saturating_add(1);
         self.position = (self.position + 1) % self.order.len();
@@ -50,18 +50,18 @@
     }
 
     /// Notes that the server has answered well.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// When to return home, if another server is asked now.
-    pub fn return_home_after(&mut self) -> Option<Duration> {
+    pub fn failback_delay(&mut self) -> Option<Duration> {
         let is_away = self.position != 0;
         is_away.then(|| Duration::from_millis(self.random.generate_range(RETURN_MS)))
     }
 
     /// Asks the home server again.
-    pub fn return_home(&mut self) {
+    pub fn fail_back(&mut self) {
         self.position = 0;
     }
 }
--- a/crates/pondlb-control/src/snapshot.rs
+++ b/crates/pondlb-control/src/snapshot.rs
@@ -7,7 +7,8 @@
 use crate::pending::CheckedRecords;
 use crate::record_hashes::RecordHashes;
 use crate::{
-    Call, Change, ChangesAnswer, Check, Digest, Hold, Key, Limits, Rejection, SnapshotAnswer, Version,
+    Change, ChangesResponse, Digest, Key, Limits, LongPoll, RecordValidator, Rejection, ReplicaRequest,
+    SnapshotResponse, Version,
 };
 
 /// A snapshot being read: its pieces first, then the changes since the first piece.
@@ -63,12 +64,12 @@
     }
 
     /// What to ask next. The digest told is that of what is in force, so that no server takes a staged state for it.
-    pub(crate) fn next_call(&self, hold: Duration, in_force: Digest) -> Call {
+    pub(crate) fn next_call(&self, hold: Duration, in_force: Digest) -> ReplicaRequest {
         match &self.stage {
-            Stage::Pieces { after, .. } => Call::Snapshot { after: after.clone() },
+            Stage::Pieces { after, .. } => ReplicaRequest::Snapshot { after: after.clone() },
             Stage::Changes { from, hurry } => {
-                let hold = if *hurry { Hold::No } else { Hold::UpTo(hold) };
-                Call::Changes { from: *from, digest: in_force, hold }
+                let hold = if *hurry { LongPoll::No } else { LongPoll::UpTo(hold) };
+                ReplicaRequest::Changes { from: *from, digest: in_force, hold }
             }
         }
     }
@@ -76,11 +77,11 @@
     /// Takes a piece.
     pub(crate) fn receive_piece(
         &mut self,
-        answer: SnapshotAnswer,
+        answer: SnapshotResponse,
         records: CheckedRecords,
         held: &Held,
     ) -> Result<SnapshotStep, Rejection> {
-        let Stage::Pieces { first, after } = &self.stage else { return Err(Rejection::WrongKind) };
+        let Stage::Pieces { first, after } = &self.stage else { return Err(Rejection::UnexpectedResponse) };
         verify_not_older(answer.version, held.version)?;
         if first.is_some_and(|first| answer.version.epoch > first.epoch) {
             return Ok(SnapshotStep::StartOver);
@@ -88,14 +89,14 @@
         verify_not_older(answer.version, self.newest)?;
         verify_records(&records.records, answer.version, after.as_ref())?;
         let last = records.records.last().map(|record| &record.change.key);
-        if let Some(next) = answer.next.as_ref().filter(|next| Some(*next) != last) {
-            return Err(Rejection::WrongNext(next.clone()));
+        if let Some(next) = answer.next_after.as_ref().filter(|next| Some(*next) != last) {
+            return Err(Rejection::WrongNextKey(next.clone()));
         }
         let first = first.unwrap_or(answer.version);
         let records = records.accepted()?;
         self.verify_extent(&records, &held.limits.at_piece(true))?;
         self.newest = answer.version;
-        self.stage = match answer.next {
+        self.stage = match answer.next_after {
             Some(next) => Stage::Pieces { first: Some(first), after: Some(next) },
             None => Stage::Changes { from: first, hurry: true },
         };
@@ -106,26 +107,26 @@
     /// Takes changes since the first piece.
     pub(crate) fn receive_changes(
         &mut self,
-        answer: ChangesAnswer,
+        answer: ChangesResponse,
         changes: CheckedRecords,
         held: &Held,
-        check: &Check<'_>,
+        check: &RecordValidator<'_>,
     ) -> Result<SnapshotStep, Rejection> {
-        let Stage::Changes { from, .. } = self.stage else { return Err(Rejection::WrongKind) };
+        let Stage::Changes { from, .. } = self.stage else { return Err(Rejection::UnexpectedResponse) };
         verify_not_older(answer.version, from)?;
         if answer.version.epoch > from.epoch || answer.reset {
             return Ok(SnapshotStep::StartOver);
         }
-        if !answer.more {
+        if !answer.has_more {
             verify_not_older(answer.version, self.newest)?;
         }
         verify_changes(&answer, &changes.records, from.revision)?;
         let changes = changes.accepted()?;
-        self.verify_extent(&changes, &held.limits.at_piece(answer.more))?;
+        self.verify_extent(&changes, &held.limits.at_piece(answer.has_more))?;
         changes.into_iter().for_each(|change| self.put(change, held));
         self.newest = self.newest.max(answer.version);
-        self.stage = Stage::Changes { from: answer.version, hurry: answer.more };
-        match answer.digest.filter(|_| !answer.more) {
+        self.stage = Stage::Changes { from: answer.version, hurry: answer.has_more };
+        match answer.digest.filter(|_| !answer.has_more) {
             None => Ok(SnapshotStep::Pending),
             Some(told) => self.complete(answer.version, told, held, check),
         }
@@ -136,11 +137,11 @@
         version: Version,
         told: Digest,
         held: &Held,
-        check: &Check<'_>,
+        check: &RecordValidator<'_>,
     ) -> Result<SnapshotStep, Rejection> {
         let computed = self.records.digest();
         if told != computed {
-            return Err(Rejection::WrongDigest { told, computed });
+            return Err(Rejection::DigestMismatch { expected: told, computed });
         }
         let removals = self.removals(held);
         removals.iter().try_for_each(|removal| held.verify_value(removal, check))?;
@@ -178,12 +179,12 @@
             bytes += staged_bytes(change);
         }
         verify_count(records, limits)?;
-        let most = limits.total_bytes;
-        if bytes > most { Err(Rejection::TooManyBytes { bytes, most }) } else { Ok(()) }
+        let most = limits.max_total_bytes;
+        if bytes > most { Err(Rejection::TooManyBytes { bytes, max: most }) } else { Ok(()) }
     }
 
     fn put(&mut self, HashedChange { change, key_hash, hash }: HashedChange, held: &Held) {
-        let key = held.names.share(change.key.clone());
+        let key = held.names.intern(change.key.clone());
         match hash {
             Some(hash) => self.records.set(&key, key_hash, hash, Key::clone),
             None => self.records.remove(&key, key_hash),
--- a/crates/pondlb-control/src/store.rs
+++ b/crates/pondlb-control/src/store.rs
@@ -7,12 +7,12 @@
 
 use crate::change_log::ChangeLog;
 use crate::commit::{CommitError, Extent, checked_values, extent_after};
-use crate::digest::{BUCKETS, KeyHash, record_hash};
+use crate::digest::{BUCKET_COUNT, KeyHash, record_hash};
 use crate::json::escaped_len;
 use crate::record_hashes::RecordHashes;
 use crate::{
-    BucketAnswer, Change, ChangesAnswer, Check, Digest, DigestsAnswer, Key, Kind, Limits, NewChange,
-    SnapshotAnswer, Update, Version,
+    BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, Limits, NewChange, RecordKind,
+    RecordValidator, SnapshotResponse, Update, Version,
 };
 
 /// The most bytes of an answer's JSON beside its changes or records and the key of the next piece.
@@ -53,7 +53,7 @@
             records: BTreeMap::new(),
             bytes: 0,
             hashes: RecordHashes::new(),
-            log: ChangeLog::new(limits.tombstones),
+            log: ChangeLog::new(limits.max_tombstones),
         }
     }
 
@@ -78,13 +78,13 @@
     }
 
     /// The keys of all records of one kind.
-    pub fn keys(&self, kind: Kind) -> impl Iterator<Item = &Key> {
+    pub fn keys(&self, kind: RecordKind) -> impl Iterator<Item = &Key> {
         let records = self.records.range::<str, _>((Bound::Included(kind.prefix()), Bound::Unbounded));
         records.map(|(key, _)| key).take_while(move |key| key.kind() == kind)
     }
 
     /// Bytes of all keys and values.
-    pub fn bytes(&self) -> usize {
+    pub fn total_bytes(&self) -> usize {
         self.bytes
     }
 
@@ -93,9 +93,13 @@
     ///
     /// # Errors
     /// [`CommitError`] where the limits or the checker don't allow one of them.
-    pub fn commit(&mut self, changes: &[NewChange], check: &Check<'_>) -> Result<Version, CommitError> {
+    pub fn commit(
+        &mut self,
+        changes: &[NewChange],
+        check: &RecordValidator<'_>,
+    ) -> Result<Version, CommitError> {
         if !self.is_origin {
-            return Err(CommitError::NoEpoch);
+            return Err(CommitError::NotOrigin);
         }
         let values = checked_values(changes, &self.limits, check)?;
         let extent = Extent { records: self.len(), bytes: self.bytes };
@@ -109,7 +113,7 @@
 
     /// Takes what a replica has verified, with its revisions and epoch. An update that is older than what is held
     /// changes nothing.
-    pub fn replicate(&mut self, update: &Update) {
+    pub fn apply_update(&mut self, update: &Update) {
         if update.version < self.version {
             return;
         }
@@ -117,19 +121,19 @@
         for Change { revision, key, value } in &update.changes {
             self.put(key, value.clone(), (*revision).min(update.version.revision));
         }
-        if update.whole {
+        if update.is_whole_state {
             self.forget_changes();
         }
         self.is_complete = update.digest.is_some();
     }
 
     /// What is newer than a caller's version, in at most so many bytes (but one change at least).
-    pub fn changes(&self, from: Version, most_bytes: usize) -> ChangesAnswer {
-        let mut answer = ChangesAnswer {
+    pub fn changes_since(&self, from: Version, most_bytes: usize) -> ChangesResponse {
+        let mut answer = ChangesResponse {
             version: self.version,
-            from: from.revision,
+            from_revision: from.revision,
             reset: false,
-            more: false,
+            has_more: false,
             digest: None,
             stale_ms: 0,
             changes: Vec::new(),
@@ -139,20 +143,20 @@
         if is_known && from < self.version {
             self.fill_changes(&mut answer, most_bytes);
         }
-        answer.digest = Some(self.digest()).filter(|_| self.is_complete && !answer.more && !answer.reset);
+        answer.digest = Some(self.digest()).filter(|_| self.is_complete && !answer.has_more && !answer.reset);
         answer
     }
 
     /// The records behind a key, or the first ones, in at most so many bytes (but one record at least).
-    pub fn snapshot(&self, after: Option<&Key>, most_bytes: usize) -> SnapshotAnswer {
-        let mut answer = SnapshotAnswer { version: self.version, records: Vec::new(), next: None };
+    pub fn snapshot_page(&self, after: Option<&Key>, most_bytes: usize) -> SnapshotResponse {
+        let mut answer = SnapshotResponse { version: self.version, records: Vec::new(), next_after: None };
         let mut bytes = ANSWER_OVERHEAD;
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         for (key, record) in self.records.range::<Key, _>((start, Bound::Unbounded)) {
             let key_bytes = escaped_len(key.as_str());
             bytes += encoded_len(key, Some(&record.value));
             if bytes + key_bytes > most_bytes && !answer.records.is_empty() {
-                answer.next = answer.records.last().map(|last| last.key.clone());
+                answer.next_after = answer.records.last().map(|last| last.key.clone());
                 break;
             }
             answer.records.push(record.as_change(key));
@@ -161,30 +165,30 @@
     }
 
     /// The digests of all buckets.
-    pub fn digests(&self) -> DigestsAnswer {
-        DigestsAnswer { version: self.version, buckets: self.hashes.bucket_digests().collect() }
+    pub fn bucket_digests(&self) -> DigestsResponse {
+        DigestsResponse { version: self.version, buckets: self.hashes.bucket_digests().collect() }
     }
 
     /// Whether there is a bucket of this number.
     pub fn has_bucket(&self, bucket: usize) -> bool {
-        bucket < BUCKETS
+        bucket < BUCKET_COUNT
     }
 
     /// All records of one bucket; none where there is no such bucket.
-    pub fn bucket(&self, bucket: usize) -> Option<BucketAnswer> {
+    pub fn bucket_records(&self, bucket: usize) -> Option<BucketResponse> {
         let keys = self.hashes.bucket_keys(bucket)?.into_iter();
         let records = keys.filter_map(|key| self.records.get(key).map(|record| record.as_change(key)));
-        Some(BucketAnswer { version: self.version, bucket, records: records.collect() })
+        Some(BucketResponse { version: self.version, bucket, records: records.collect() })
     }
 
-    fn fill_changes(&self, answer: &mut ChangesAnswer, most_bytes: usize) {
+    fn fill_changes(&self, answer: &mut ChangesResponse, most_bytes: usize) {
         let mut bytes = ANSWER_OVERHEAD;
-        for (revision, key) in self.log.since(answer.from) {
+        for (revision, key) in self.log.since(answer.from_revision) {
             let value = self.records.get(key).map(|record| &record.value);
             bytes += encoded_len(key, value.map(Box::as_ref));
             if let Some(last) = answer.changes.last().filter(|_| bytes > most_bytes) {
                 answer.version.revision = last.revision;
-                answer.more = true;
+                answer.has_more = true;
                 return;
             }
             answer.changes.push(Change { revision, key: key.clone(), value: value.cloned() });
--- a/crates/pondlb-control/src/update.rs
+++ b/crates/pondlb-control/src/update.rs
@@ -15,18 +15,18 @@
     /// The digest of all records, where it was compared.
     pub digest: Option<Digest>,
     /// The difference to a whole new state: versions between are unknown.
-    pub whole: bool,
+    pub is_whole_state: bool,
     /// What to change, each record once.
     pub changes: Vec<Change>,
     /// More follows at once.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 impl Update {
     /// The same update in slices of `most` changes, for consumers that apply a few at a time. The version holds, and
     /// the digest is told, with the last one.
-    pub fn slices(self, most: usize) -> impl Iterator<Item = Update> {
-        let Update { version, digest, whole, changes, more } = self;
+    pub fn into_batches(self, most: usize) -> impl Iterator<Item = Update> {
+        let Update { version, digest, is_whole_state: whole, changes, has_more: more } = self;
         let most = most.max(1);
         let slices = changes.len().div_ceil(most).max(1);
         let mut changes = changes.into_iter();
@@ -35,9 +35,9 @@
             Update {
                 version,
                 digest: digest.filter(|_| is_last),
-                whole,
+                is_whole_state: whole,
                 changes: changes.by_ref().take(most).collect(),
-                more: more || !is_last,
+                has_more: more || !is_last,
             }
         })
     }
--- a/crates/pondlb-control/tests/common/mod.rs
+++ b/crates/pondlb-control/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use pondlb_control::{
-    Answer, Call, Change, Hold, Key, Kind, Limits, Names, NewChange, Progress, Rejection, Replica, Store,
-    Update, Version,
+    Change, Key, KeyInterner, Limits, LongPoll, NewChange, Progress, RecordKind, Rejection, Replica,
+    ReplicaRequest, ReplicaResponse, Store, Update, Version,
 };
 use serde_json::value::RawValue;
 
@@ -21,7 +21,7 @@
 }
 
 pub fn key(number: u64) -> Key {
-    let kinds = [Kind::Upstream, Kind::Class, Kind::Tenant, Kind::Limit];
+    let kinds = [RecordKind::Upstream, RecordKind::Class, RecordKind::Tenant, RecordKind::Limit];
     Key::new(kinds[number as usize % 4], &format!("s-{number:05}")).unwrap()
 }
 
@@ -46,16 +46,22 @@
 }
 
 pub fn new_replica() -> Replica {
-    Replica::new(Limits::default(), Names::default())
+    Replica::new(Limits::default(), KeyInterner::default())
 }
 
 /// The store's answer to a call, sent as JSON text and read again.
-pub fn answer(store: &Store, call: &Call, piece_bytes: usize) -> Answer {
+pub fn answer(store: &Store, call: &ReplicaRequest, piece_bytes: usize) -> ReplicaResponse {
     match call {
-        Call::Changes { from, .. } => Answer::Changes(resent(&store.changes(*from, piece_bytes))),
-        Call::Snapshot { after } => Answer::Snapshot(resent(&store.snapshot(after.as_ref(), piece_bytes))),
-        Call::Digests => Answer::Digests(resent(&store.digests())),
-        Call::Bucket(bucket) => Answer::Bucket(resent(&store.bucket(*bucket).unwrap())),
+        ReplicaRequest::Changes { from, .. } => {
+            ReplicaResponse::Changes(resent(&store.changes_since(*from, piece_bytes)))
+        }
+        ReplicaRequest::Snapshot { after } => {
+            ReplicaResponse::Snapshot(resent(&store.snapshot_page(after.as_ref(), piece_bytes)))
+        }
+        ReplicaRequest::Digests => ReplicaResponse::Digests(resent(&store.bucket_digests())),
+        ReplicaRequest::Bucket(bucket) => {
+            ReplicaResponse::Bucket(resent(&store.bucket_records(*bucket).unwrap()))
+        }
     }
 }
 
@@ -84,11 +90,11 @@
 }
 
 impl Tally {
-    fn count(&mut self, call: &Call, progress: &Result<Progress, Rejection>) {
+    fn count(&mut self, call: &ReplicaRequest, progress: &Result<Progress, Rejection>) {
         match progress {
             Ok(Progress::Applied(update)) => {
-                self.whole_states += usize::from(update.whole);
-                self.repairs += usize::from(matches!(call, Call::Bucket(_)));
+                self.whole_states += usize::from(update.is_whole_state);
+                self.repairs += usize::from(matches!(call, ReplicaRequest::Bucket(_)));
             }
             Ok(_) => {}
             Err(rejection) => {
@@ -125,15 +131,15 @@
         }
     }
 
-    pub fn call(&self) -> Call {
-        self.replica.next_call(HOLD)
+    pub fn call(&self) -> ReplicaRequest {
+        self.replica.next_request(HOLD)
     }
 
     /// Takes an answer and puts in force what comes of it.
-    pub fn receive(&mut self, answer: Answer) -> Result<Progress, Rejection> {
+    pub fn receive(&mut self, answer: ReplicaResponse) -> Result<Progress, Rejection> {
         self.calls += 1;
         let call = self.call();
-        let is_following = matches!(call, Call::Changes { .. });
+        let is_following = matches!(call, ReplicaRequest::Changes { .. });
         let held = (self.replica.version(), self.replica.digest());
         let progress = self.replica.receive(answer, &allow_all);
         self.tally.count(&call, &progress);
@@ -146,7 +152,7 @@
 
     fn put_in_force(&mut self, update: &Update, is_following: bool) {
         assert!(update.version >= self.version, "{} after {}", update.version, self.version);
-        if is_following && !update.whole {
+        if is_following && !update.is_whole_state {
             let is_new = |change: &Change| change.revision > self.version.revision;
             assert!(update.changes.iter().all(is_new), "applied twice");
         }
@@ -157,7 +163,7 @@
                 None => self.records.remove(&change.key),
             };
         }
-        self.store.replicate(update);
+        self.store.apply_update(update);
     }
 
     /// Asks once; returns what came of it.
@@ -170,12 +176,12 @@
     pub fn catch_up(&mut self, server: &Store, piece_bytes: usize) {
         for _ in 0..MOST_CALLS {
             let step = self.step(server, piece_bytes);
-            let is_idle = matches!(self.call(), Call::Changes { hold: Hold::UpTo(_), .. });
+            let is_idle = matches!(self.call(), ReplicaRequest::Changes { hold: LongPoll::UpTo(_), .. });
             let is_same = self.replica.version() == server.version() && self.replica.is_in_sync();
             match step {
                 Ok(_) if is_idle && is_same => return,
                 Ok(_) => {}
-                Err(_) => self.replica.restart(),
+                Err(_) => self.replica.reset_for_new_server(),
             }
         }
         panic!("not in sync after {MOST_CALLS} calls");
@@ -191,13 +197,13 @@
         assert!(self.replica.is_in_sync());
         assert_eq!(self.store.version(), server.version());
         assert_eq!(self.store.digest(), server.digest());
-        assert_eq!(self.store.bytes(), server.bytes());
+        assert_eq!(self.store.total_bytes(), server.total_bytes());
         assert_eq!(records_of(&self.store), records_of(server));
     }
 }
 
 /// All records of a store.
 pub fn records_of(store: &Store) -> BTreeMap<Key, String> {
-    let records = store.snapshot(None, usize::MAX).records.into_iter();
+    let records = store.snapshot_page(None, usize::MAX).records.into_iter();
     records.map(|record| (record.key, record.value.unwrap().get().to_string())).collect()
 }
--- a/crates/pondlb-control/tests/faults.rs
+++ b/crates/pondlb-control/tests/faults.rs
@@ -3,14 +3,16 @@
 mod common;
 
 use common::{Follower, HOLD, allow_all, answer, filled_store, key, remove, set, value};
-use pondlb_control::{Answer, BUCKETS, Call, ChangesAnswer, Progress, Rejection, Store, Update};
+use pondlb_control::{
+    BUCKET_COUNT, ChangesResponse, Progress, Rejection, ReplicaRequest, ReplicaResponse, Store, Update,
+};
 
 const RECORDS: u64 = 4000;
 const WHOLE: usize = usize::MAX;
 
-fn changes(answer: Answer) -> ChangesAnswer {
+fn changes(answer: ReplicaResponse) -> ChangesResponse {
     match answer {
-        Answer::Changes(answer) => answer,
+        ReplicaResponse::Changes(answer) => answer,
         other => panic!("{other:?} instead of changes"),
     }
 }
@@ -29,7 +31,7 @@
     let mut records = 0;
     for calls in 1..20 {
         let answer = answer(store, &follower.call(), WHOLE);
-        if let Answer::Bucket(bucket) = &answer {
+        if let ReplicaResponse::Bucket(bucket) = &answer {
             buckets += 1;
             records += bucket.records.len();
         }
@@ -41,7 +43,7 @@
 }
 
 fn most_records_of_a_bucket(store: &Store) -> usize {
-    (0..BUCKETS).map(|bucket| store.bucket(bucket).unwrap().records.len()).max().unwrap()
+    (0..BUCKET_COUNT).map(|bucket| store.bucket_records(bucket).unwrap().records.len()).max().unwrap()
 }
 
 /// A follower in sync, and a store that has since made three changes.
@@ -58,7 +60,7 @@
     let repaired = repair(follower, store);
     assert!(repaired.update.changes.iter().any(|change| change.key.name() == name));
     assert!(repaired.update.changes.len() <= 3, "{:?}", repaired.update.changes);
-    assert!(!repaired.update.whole);
+    assert!(!repaired.update.is_whole_state);
     assert_eq!(repaired.calls, 1 + repaired.buckets);
     assert!(repaired.buckets <= 2, "{} buckets", repaired.buckets);
     assert!(repaired.records <= 2 * most_records_of_a_bucket(store));
@@ -72,7 +74,7 @@
         let mut answer = changes(answer(&store, &follower.call(), WHOLE));
         let name = answer.changes.remove(dropped).key;
         let before = follower.records.clone();
-        assert!(matches!(follower.receive(Answer::Changes(answer)), Ok(Progress::Pending)));
+        assert!(matches!(follower.receive(ReplicaResponse::Changes(answer)), Ok(Progress::Pending)));
         assert_eq!(follower.records, before, "nothing is put in force before the repair");
         assert_repairs_one_record(&store, &mut follower, name.name());
     }
@@ -83,7 +85,7 @@
     let (store, mut follower) = three_changes_behind();
     let mut answer = changes(answer(&store, &follower.call(), WHOLE));
     answer.changes[0].value = Some(value("0"));
-    assert!(matches!(follower.receive(Answer::Changes(answer)), Ok(Progress::Pending)));
+    assert!(matches!(follower.receive(ReplicaResponse::Changes(answer)), Ok(Progress::Pending)));
     assert_repairs_one_record(&store, &mut follower, key(10).name());
 }
 
@@ -91,9 +93,9 @@
 fn a_bit_flipped_in_a_piece_that_is_not_the_last_is_repaired() {
     let (store, mut follower) = three_changes_behind();
     let mut piece = changes(answer(&store, &follower.call(), 1));
-    assert!(piece.more && piece.changes.len() == 1);
+    assert!(piece.has_more && piece.changes.len() == 1);
     piece.changes[0].value = Some(value("0"));
-    assert!(matches!(follower.receive(Answer::Changes(piece)), Ok(Progress::Applied(_))));
+    assert!(matches!(follower.receive(ReplicaResponse::Changes(piece)), Ok(Progress::Applied(_))));
     assert_eq!(follower.records[&key(10)], "0");
     assert!(matches!(follower.step(&store, WHOLE), Ok(Progress::Pending)));
     assert_repairs_one_record(&store, &mut follower, key(10).name());
@@ -104,8 +106,8 @@
     let (store, mut follower) = three_changes_behind();
     let mut answer = changes(answer(&store, &follower.call(), WHOLE));
     answer.changes.swap(0, 1);
-    let rejection = follower.receive(Answer::Changes(answer)).unwrap_err();
-    assert!(matches!(rejection, Rejection::WrongRevision { .. }));
+    let rejection = follower.receive(ReplicaResponse::Changes(answer)).unwrap_err();
+    assert!(matches!(rejection, Rejection::InvalidRevision { .. }));
     assert!(matches!(follower.step(&store, WHOLE), Ok(Progress::Applied(_))));
     follower.assert_same_as(&store);
 }
@@ -115,8 +117,8 @@
     let (store, mut follower) = three_changes_behind();
     let mut answer = changes(answer(&store, &follower.call(), WHOLE));
     answer.digest.as_mut().unwrap().0 ^= 1;
-    assert!(matches!(follower.receive(Answer::Changes(answer)), Ok(Progress::Pending)));
-    assert!(matches!(follower.step(&store, WHOLE), Err(Rejection::WrongDigest { .. })));
+    assert!(matches!(follower.receive(ReplicaResponse::Changes(answer)), Ok(Progress::Pending)));
+    assert!(matches!(follower.step(&store, WHOLE), Err(Rejection::DigestMismatch { .. })));
     assert!(matches!(follower.step(&store, WHOLE), Ok(Progress::Applied(_))));
     follower.assert_same_as(&store);
 }
@@ -126,10 +128,10 @@
     let (mut store, mut follower) = three_changes_behind();
     let mut answer = changes(answer(&store, &follower.call(), WHOLE));
     answer.changes.remove(1);
-    follower.receive(Answer::Changes(answer)).unwrap();
+    follower.receive(ReplicaResponse::Changes(answer)).unwrap();
     store.commit(&[set(30, "3")], &allow_all).unwrap();
     assert!(matches!(follower.step(&store, WHOLE), Ok(Progress::Pending)));
-    assert!(matches!(follower.call(), Call::Changes { .. }));
+    assert!(matches!(follower.call(), ReplicaRequest::Changes { .. }));
     follower.catch_up(&store, WHOLE);
     follower.assert_same_as(&store);
 }
@@ -138,7 +140,7 @@
 fn fail_a_repair(follower: &mut Follower, store: &mut Store) -> Result<Progress, Rejection> {
     let mut wrong = changes(answer(store, &follower.call(), WHOLE));
     wrong.digest.as_mut().unwrap().0 ^= 1;
-    follower.receive(Answer::Changes(wrong)).unwrap();
+    follower.receive(ReplicaResponse::Changes(wrong)).unwrap();
     store.commit(&[set(1, "1")], &allow_all).unwrap();
     follower.step(store, WHOLE)
 }
@@ -150,9 +152,9 @@
     assert!(matches!(fail_a_repair(&mut follower, &mut store), Ok(Progress::Pending)));
     let third = fail_a_repair(&mut follower, &mut store);
     assert_eq!(third.unwrap_err(), Rejection::RepairsFailed(3));
-    assert_eq!(follower.call(), Call::Snapshot { after: None });
-    follower.replica.restart();
-    assert_eq!(follower.call(), Call::Snapshot { after: None });
+    assert_eq!(follower.call(), ReplicaRequest::Snapshot { after: None });
+    follower.replica.reset_for_new_server();
+    assert_eq!(follower.call(), ReplicaRequest::Snapshot { after: None });
     follower.catch_up(&store, WHOLE);
     follower.assert_same_as(&store);
 }
@@ -163,11 +165,11 @@
     for _ in 0..3 {
         let mut wrong = changes(answer(&store, &follower.call(), WHOLE));
         wrong.changes.clear();
-        follower.receive(Answer::Changes(wrong)).unwrap();
-        assert_eq!(follower.call(), Call::Digests);
-        follower.replica.restart();
+        follower.receive(ReplicaResponse::Changes(wrong)).unwrap();
+        assert_eq!(follower.call(), ReplicaRequest::Digests);
+        follower.replica.reset_for_new_server();
     }
-    assert_eq!(follower.call(), Call::Snapshot { after: None });
+    assert_eq!(follower.call(), ReplicaRequest::Snapshot { after: None });
 }
 
 #[test]
@@ -178,7 +180,7 @@
     }
     follower.catch_up(&store, WHOLE);
     fail_a_repair(&mut follower, &mut store).unwrap();
-    assert!(matches!(follower.call(), Call::Changes { .. }));
+    assert!(matches!(follower.call(), ReplicaRequest::Changes { .. }));
 }
 
 #[test]
@@ -188,7 +190,7 @@
     balancer.catch_up(&replica_server.store, WHOLE);
     let mut piece = changes(answer(&store, &replica_server.call(), 1));
     piece.changes[0].value = Some(value("0"));
-    replica_server.receive(Answer::Changes(piece)).unwrap();
+    replica_server.receive(ReplicaResponse::Changes(piece)).unwrap();
     balancer.step(&replica_server.store, WHOLE).unwrap();
     assert_eq!(balancer.records[&key(10)], "0");
     replica_server.catch_up(&store, WHOLE);
@@ -202,7 +204,7 @@
     let (store, mut follower) = three_changes_behind();
     let mut wrong = changes(answer(&store, &follower.call(), WHOLE));
     wrong.changes.retain(|change| change.value.is_some());
-    follower.receive(Answer::Changes(wrong)).unwrap();
+    follower.receive(ReplicaResponse::Changes(wrong)).unwrap();
     let repaired = repair(&mut follower, &store);
     let removed: Vec<&str> = repaired
         .update
@@ -212,6 +214,6 @@
         .map(|change| change.key.name())
         .collect();
     assert_eq!(removed, [key(20).name()]);
-    assert!(matches!(follower.replica.next_call(HOLD), Call::Changes { .. }));
+    assert!(matches!(follower.replica.next_request(HOLD), ReplicaRequest::Changes { .. }));
     follower.assert_same_as(&store);
 }
--- a/crates/pondlb-control/tests/following.rs
+++ b/crates/pondlb-control/tests/following.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::{Follower, allow_all, answer, filled_store, remove, set};
-use pondlb_control::{Answer, Call, Progress};
+use pondlb_control::{Progress, ReplicaRequest, ReplicaResponse};
 
 #[test]
 fn takes_a_snapshot_and_follows_changes() {
     let mut store = filled_store(1, 100);
     let mut follower = Follower::new();
-    assert_eq!(follower.call(), Call::Snapshot { after: None });
+    assert_eq!(follower.call(), ReplicaRequest::Snapshot { after: None });
     follower.catch_up(&store, 500);
     follower.assert_same_as(&store);
     store.commit(&[set(3, "{\"a\": [1.0, \"b c\"]}"), remove(4), set(200, "true")], &allow_all).unwrap();
@@ -44,7 +44,7 @@
             break update;
         }
     };
-    assert!(update.whole);
+    assert!(update.is_whole_state);
     let changed: Vec<&str> = update.changes.iter().map(|change| change.key.name()).collect();
     assert_eq!(changed, ["s-00007", "s-00099", "s-00098"]);
     follower.assert_same_as(&newer);
@@ -56,13 +56,15 @@
     let mut replica_server = Follower::new();
     replica_server.catch_up(&origin, 1000);
     origin.commit(&[set(3, "0")], &allow_all).unwrap();
-    let Answer::Changes(mut unproven) = answer(&origin, &replica_server.call(), 1000) else { unreachable!() };
+    let ReplicaResponse::Changes(mut unproven) = answer(&origin, &replica_server.call(), 1000) else {
+        unreachable!()
+    };
     unproven.digest = None;
-    assert!(matches!(replica_server.receive(Answer::Changes(unproven)), Ok(Progress::Applied(_))));
-    assert!(replica_server.store.changes(origin.version(), 1000).digest.is_none());
+    assert!(matches!(replica_server.receive(ReplicaResponse::Changes(unproven)), Ok(Progress::Applied(_))));
+    assert!(replica_server.store.changes_since(origin.version(), 1000).digest.is_none());
     let Ok(Progress::Applied(update)) = replica_server.step(&origin, 1000) else { panic!("not applied") };
     assert!(update.changes.is_empty());
     assert_eq!(update.digest, Some(origin.digest()));
-    assert_eq!(replica_server.store.changes(origin.version(), 1000).digest, Some(origin.digest()));
+    assert_eq!(replica_server.store.changes_since(origin.version(), 1000).digest, Some(origin.digest()));
     assert!(matches!(replica_server.step(&origin, 1000), Ok(Progress::Unchanged)));
 }
--- a/crates/pondlb-control/tests/histories.rs
+++ b/crates/pondlb-control/tests/histories.rs
@@ -6,7 +6,7 @@
 
 use common::{Follower, Tally, allow_all, answer, key, remove, set, value};
 use nanorand::{Rng, WyRand};
-use pondlb_control::{Answer, Change, Key, Limits, NewChange, Store, Version};
+use pondlb_control::{Change, Key, Limits, NewChange, ReplicaResponse, Store, Version};
 
 const HISTORIES: u64 = 60;
 const STEPS: usize = 1500;
@@ -27,7 +27,7 @@
     follower: Follower,
     /// A replica server's number; the origin where it is none of them.
     server: usize,
-    kept_back: Option<Answer>,
+    kept_back: Option<ReplicaResponse>,
 }
 
 impl Link {
@@ -123,11 +123,11 @@
 
     fn go_to_another_server(&mut self, is_server: bool, number: usize) {
         if is_server {
-            return self.replica_servers[number].follower.replica.restart();
+            return self.replica_servers[number].follower.replica.reset_for_new_server();
         }
         let link = &mut self.balancers[number];
         link.server = self.random.generate_range(0..=REPLICA_SERVERS);
-        link.follower.replica.restart();
+        link.follower.replica.reset_for_new_server();
     }
 
     fn step(&mut self) {
@@ -163,19 +163,19 @@
 /// Few tombstones make many resets, many make none.
 fn random_limits(random: &mut WyRand) -> Limits {
     let tombstones = [0, 20, 1000][random.generate_range(0..3)];
-    Limits { tombstones, ..Limits::default() }
+    Limits { max_tombstones: tombstones, ..Limits::default() }
 }
 
 /// Makes an answer wrong in a way that its own records, digests and checks must show. A newer version than the
 /// server's is not among them: nothing could tell it from news.
-fn garble(answer: &mut Answer, random: &mut WyRand) {
+fn garble(answer: &mut ReplicaResponse, random: &mut WyRand) {
     match answer {
-        Answer::Changes(answer) => match random.generate_range(0..12) {
-            0 => answer.from ^= 1,
+        ReplicaResponse::Changes(answer) => match random.generate_range(0..12) {
+            0 => answer.from_revision ^= 1,
             1 => answer.reset = true,
             2 => answer.digest = None,
             3 => answer.version = older(answer.version),
-            4 => answer.more ^= true,
+            4 => answer.has_more ^= true,
             5 => {
                 if let Some(digest) = &mut answer.digest {
                     digest.0 ^= 1 << random.generate_range(0..64u32);
@@ -183,13 +183,13 @@
             }
             _ => garble_records(&mut answer.changes, random),
         },
-        Answer::Snapshot(answer) => match random.generate_range(0..5) {
-            0 => answer.next = None,
-            1 => answer.next = Some(key(random.generate_range(0..NAMES))),
+        ReplicaResponse::Snapshot(answer) => match random.generate_range(0..5) {
+            0 => answer.next_after = None,
+            1 => answer.next_after = Some(key(random.generate_range(0..NAMES))),
             2 => answer.version = older(answer.version),
             _ => garble_records(&mut answer.records, random),
         },
-        Answer::Digests(answer) => match random.generate_range(0..3) {
+        ReplicaResponse::Digests(answer) => match random.generate_range(0..3) {
             0 => answer.buckets.truncate(random.generate_range(0..answer.buckets.len())),
             1 => answer.version = older(answer.version),
             _ => {
@@ -197,7 +197,7 @@
                 answer.buckets[bucket].0 ^= 1;
             }
         },
-        Answer::Bucket(answer) => match random.generate_range(0..4) {
+        ReplicaResponse::Bucket(answer) => match random.generate_range(0..4) {
             0 => answer.bucket = random.generate_range(0..usize::MAX),
             1 => answer.version = older(answer.version),
             _ => garble_records(&mut answer.records, random),
@@ -232,23 +232,23 @@
 
 /// What the faults of the histories must have led to, so that the histories are known to reach it.
 const EXPECTED_REJECTIONS: [&str; 17] = [
-    "DoubledKey",
-    "EmptyPiece",
-    "ForeignRecord",
+    "DigestMismatch",
+    "DuplicateKey",
+    "EmptyPage",
+    "InvalidRevision",
     "KeyOutOfOrder",
     "MissingValue",
-    "NoState",
     "OlderEpoch",
     "OlderRevision",
+    "RecordInWrongBucket",
     "RepairsFailed",
+    "ServerWithoutState",
     "SnapshotsInterrupted",
+    "UnexpectedResponse",
+    "WrongBaseRevision",
     "WrongBucket",
     "WrongBucketCount",
-    "WrongDigest",
-    "WrongFrom",
-    "WrongKind",
-    "WrongNext",
-    "WrongRevision",
+    "WrongNextKey",
 ];
 
 #[test]
--- a/crates/pondlb-control/tests/rotation.rs
+++ b/crates/pondlb-control/tests/rotation.rs
@@ -14,7 +14,7 @@
 
 fn load(callers: &[Rotation]) -> BTreeMap<usize, usize> {
     let mut load = BTreeMap::new();
-    callers.iter().for_each(|caller| *load.entry(caller.server()).or_default() += 1);
+    callers.iter().for_each(|caller| *load.entry(caller.current_server()).or_default() += 1);
     load
 }
 
@@ -28,8 +28,8 @@
 #[test]
 fn the_callers_of_a_lost_server_spread_over_the_rest() {
     let mut callers = callers();
-    callers.iter_mut().filter(|caller| caller.server() == 3).for_each(|caller| {
-        caller.failed();
+    callers.iter_mut().filter(|caller| caller.current_server() == 3).for_each(|caller| {
+        caller.fail_over();
     });
     let load = load(&callers);
     assert_eq!(load.len(), SERVERS - 1);
@@ -39,10 +39,10 @@
 /// Lets every caller go on until it asks a server that is not lost.
 fn lose(callers: &mut [Rotation], lost: &[usize]) {
     for caller in callers {
-        while lost.contains(&caller.server()) {
-            caller.failed();
+        while lost.contains(&caller.current_server()) {
+            caller.fail_over();
         }
-        caller.succeeded();
+        caller.record_success();
     }
 }
 
@@ -59,7 +59,7 @@
         assert_eq!(load.len(), left);
         let even = CALLERS as usize / left;
         assert!(load.values().all(|callers| *callers < even + even / 8), "{lost:?}: {load:?}");
-        callers.iter_mut().for_each(Rotation::return_home);
+        callers.iter_mut().for_each(Rotation::fail_back);
         assert!(self::load(&callers).values().all(|callers| *callers == 100), "{lost:?}");
     }
 }
@@ -78,12 +78,12 @@
 fn each_round_asks_every_server_once() {
     for number in 0..100 {
         let mut rotation = Rotation::new(SERVERS, number, 7);
-        let home = rotation.server();
+        let home = rotation.current_server();
         for _ in 0..3 {
             let mut asked = Vec::new();
             for _ in 0..SERVERS {
-                asked.push(rotation.server());
-                rotation.failed();
+                asked.push(rotation.current_server());
+                rotation.fail_over();
             }
             assert_eq!(asked[0], home);
             asked.sort();
@@ -95,7 +95,7 @@
 #[test]
 fn waits_double_with_each_round_up_to_a_bound() {
     let mut rotation = Rotation::new(2, 0, 7);
-    let mut waits = |times: usize| -> Vec<Duration> { (0..times).map(|_| rotation.failed()).collect() };
+    let mut waits = |times: usize| -> Vec<Duration> { (0..times).map(|_| rotation.fail_over()).collect() };
     for round in 0..7 {
         let longest = Duration::from_millis(100 << round);
         assert!(waits(2).iter().all(|wait| (longest / 2..=longest).contains(wait)));
@@ -110,24 +110,24 @@
 fn success_ends_the_backoff_and_keeps_the_server() {
     let mut rotation = Rotation::new(2, 0, 7);
     for _ in 0..9 {
-        rotation.failed();
+        rotation.fail_over();
     }
-    let server = rotation.server();
-    rotation.succeeded();
-    assert_eq!(rotation.server(), server);
-    assert!(rotation.failed() <= Duration::from_millis(100));
+    let server = rotation.current_server();
+    rotation.record_success();
+    assert_eq!(rotation.current_server(), server);
+    assert!(rotation.fail_over() <= Duration::from_millis(100));
 }
 
 #[test]
 fn callers_return_home_at_spread_times() {
     let mut spans = Vec::new();
     for mut caller in callers() {
-        assert_eq!(caller.return_home_after(), None);
-        let home = caller.server();
-        caller.failed();
-        spans.push(caller.return_home_after().unwrap());
-        caller.return_home();
-        assert_eq!(caller.server(), home);
+        assert_eq!(caller.failback_delay(), None);
+        let home = caller.current_server();
+        caller.fail_over();
+        spans.push(caller.failback_delay().unwrap());
+        caller.fail_back();
+        assert_eq!(caller.current_server(), home);
     }
     spans.sort();
     assert!(spans[0] >= Duration::from_secs(30) && spans[0] < Duration::from_secs(32));
@@ -139,10 +139,10 @@
 fn one_server_or_none() {
     for servers in [0, 1] {
         let mut rotation = Rotation::new(servers, 5, 7);
-        assert_eq!(rotation.server(), 0);
-        assert!(rotation.failed() <= Duration::from_millis(100));
-        assert_eq!(rotation.server(), 0);
-        assert_eq!(rotation.return_home_after(), None);
-        assert!(rotation.failed() > Duration::from_millis(99));
+        assert_eq!(rotation.current_server(), 0);
+        assert!(rotation.fail_over() <= Duration::from_millis(100));
+        assert_eq!(rotation.current_server(), 0);
+        assert_eq!(rotation.failback_delay(), None);
+        assert!(rotation.fail_over() > Duration::from_millis(99));
     }
 }
--- a/crates/pondlb-control/tests/snapshots.rs
+++ b/crates/pondlb-control/tests/snapshots.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use common::{Follower, allow_all, filled_store, remove, set};
-use pondlb_control::{Call, Hold, Limits, NewChange, Progress, Rejection, Store};
+use pondlb_control::{Limits, LongPoll, NewChange, Progress, Rejection, ReplicaRequest, Store};
 
 const PIECE: usize = 1000;
 
-fn beginning() -> Call {
-    Call::Snapshot { after: None }
+fn beginning() -> ReplicaRequest {
+    ReplicaRequest::Snapshot { after: None }
 }
 
 /// Goes on until the changes since the first piece are to be asked for.
 fn read_all_pieces(follower: &mut Follower, store: &Store) {
-    while let Call::Snapshot { .. } = follower.call() {
+    while let ReplicaRequest::Snapshot { .. } = follower.call() {
         follower.step(store, PIECE).unwrap();
     }
 }
@@ -25,7 +25,7 @@
     let store = filled_store(2, 100);
     follower.step(&store, PIECE).unwrap();
     follower.step(&store, PIECE).unwrap();
-    assert!(matches!(follower.call(), Call::Snapshot { after: Some(_) }));
+    assert!(matches!(follower.call(), ReplicaRequest::Snapshot { after: Some(_) }));
     (store, follower)
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn a_restart_starts_over() {
     let (store, mut follower) = within_a_second_snapshot();
-    follower.replica.restart();
+    follower.replica.reset_for_new_server();
     assert_eq!(follower.call(), beginning());
     assert_eq!(follower.replica.len(), 60);
     follower.catch_up(&store, PIECE);
@@ -92,7 +92,7 @@
 
 #[test]
 fn forgotten_tombstones_reset_a_staged_snapshot() {
-    let mut store = Store::new(1, Limits { tombstones: 0, ..Limits::default() });
+    let mut store = Store::new(1, Limits { max_tombstones: 0, ..Limits::default() });
     let records: Vec<NewChange> = (0..50).map(|number| set(number, "1")).collect();
     store.commit(&records, &allow_all).unwrap();
     let mut follower = Follower::new();
@@ -110,7 +110,10 @@
     let (store, mut follower) = within_a_second_snapshot();
     read_all_pieces(&mut follower, &store);
     let in_force = follower.replica.digest();
-    assert_eq!(follower.call(), Call::Changes { from: store.version(), digest: in_force, hold: Hold::No });
+    assert_eq!(
+        follower.call(),
+        ReplicaRequest::Changes { from: store.version(), digest: in_force, hold: LongPoll::No }
+    );
 }
 
 #[test]
--- a/crates/pondlb-control/tests/updates.rs
+++ b/crates/pondlb-control/tests/updates.rs
@@ -8,20 +8,20 @@
 use common::{allow_all, filled_store, key, remove, set, value};
 use expect_test::expect;
 use pondlb_control::{
-    Call, Change, ChangesAnswer, Commit, Digest, Hold, Key, KeyError, Kind, LONGEST_NAME, Names,
-    SnapshotAnswer, Update, Version,
+    Change, ChangesResponse, CommitRequest, Digest, Key, KeyError, KeyInterner, LongPoll, MAX_NAME_BYTES,
+    RecordKind, ReplicaRequest, SnapshotResponse, Update, Version,
 };
 
 fn update(changes: u64) -> Update {
     let change = |revision| Change { revision, key: key(revision), value: Some(value("1")) };
     let version = Version { epoch: 1, revision: changes };
     let changes = (1..=changes).map(change).collect();
-    Update { version, digest: Some(Digest(7)), whole: true, changes, more: false }
+    Update { version, digest: Some(Digest(7)), is_whole_state: true, changes, has_more: false }
 }
 
 /// Number of changes, whether more follows, and the digest of each slice.
 fn outline(update: Update, most: usize) -> Vec<(usize, bool, Option<Digest>)> {
-    update.slices(most).map(|slice| (slice.changes.len(), slice.more, slice.digest)).collect()
+    update.into_batches(most).map(|slice| (slice.changes.len(), slice.has_more, slice.digest)).collect()
 }
 
 #[test]
@@ -32,49 +32,51 @@
     assert_eq!(outline(update(4), 9), [(4, false, digest)]);
     assert_eq!(outline(update(0), 2), [(0, false, digest)]);
     assert_eq!(outline(update(2), 0), [(1, true, None), (1, false, digest)]);
-    let piece = Update { more: true, digest: None, ..update(3) };
+    let piece = Update { has_more: true, digest: None, ..update(3) };
     assert_eq!(outline(piece, 2), [(2, true, None), (1, true, None)]);
 }
 
 #[test]
 fn slices_hold_all_changes_in_order() {
     let revisions: Vec<u64> =
-        update(7).slices(3).flat_map(|slice| slice.changes).map(|change| change.revision).collect();
+        update(7).into_batches(3).flat_map(|slice| slice.changes).map(|change| change.revision).collect();
     assert!(revisions.into_iter().eq(1..=7));
-    assert!(update(7).slices(3).all(|slice| slice.whole && slice.version == update(7).version));
+    assert!(
+        update(7).into_batches(3).all(|slice| slice.is_whole_state && slice.version == update(7).version)
+    );
 }
 
 #[test]
 fn equal_names_share_one_allocation() {
-    let names = Names::default();
-    let first = names.share(key(1));
-    let second = names.clone().share(key(1));
-    assert!(Rc::ptr_eq(&first.shared(), &second.shared()));
+    let names = KeyInterner::default();
+    let first = names.intern(key(1));
+    let second = names.clone().intern(key(1));
+    assert!(Rc::ptr_eq(&first.to_rc_str(), &second.to_rc_str()));
     assert_eq!(names.len(), 1);
 }
 
 #[test]
 fn names_that_nobody_holds_are_forgotten() {
-    let names = Names::default();
-    let held: Vec<Key> = (0..100).map(|number| names.share(key(number))).collect();
+    let names = KeyInterner::default();
+    let held: Vec<Key> = (0..100).map(|number| names.intern(key(number))).collect();
     for number in 0..50_000 {
-        names.share(key(number));
+        names.intern(key(number));
     }
     assert!(names.len() < 2200, "{} names", names.len());
     for key in held {
-        assert!(Rc::ptr_eq(&names.share(key.clone()).shared(), &key.shared()));
+        assert!(Rc::ptr_eq(&names.intern(key.clone()).to_rc_str(), &key.to_rc_str()));
     }
 }
 
 #[test]
 fn names_of_keys() {
-    assert_eq!(Key::parse("upstream/a/b"), Key::new(Kind::Upstream, "a/b"));
-    assert_eq!(Key::parse("class/x").unwrap().kind(), Kind::Class);
+    assert_eq!(Key::parse("upstream/a/b"), Key::new(RecordKind::Upstream, "a/b"));
+    assert_eq!(Key::parse("class/x").unwrap().kind(), RecordKind::Class);
     assert_eq!(Key::parse("other/x"), Err(KeyError::UnknownKind("other/x".into())));
-    for name in ["", "a b", "é", "\n", &"x".repeat(LONGEST_NAME + 1)] {
-        assert_eq!(Key::new(Kind::Limit, name), Err(KeyError::BadName(name.to_string())));
+    for name in ["", "a b", "é", "\n", &"x".repeat(MAX_NAME_BYTES + 1)] {
+        assert_eq!(Key::new(RecordKind::Limit, name), Err(KeyError::InvalidName(name.to_string())));
     }
-    assert!(Key::new(Kind::Limit, &"x".repeat(LONGEST_NAME)).is_ok());
+    assert!(Key::new(RecordKind::Limit, &"x".repeat(MAX_NAME_BYTES)).is_ok());
     assert!(serde_json::from_str::<Key>("\"tenant/\"").is_err());
 }
 
@@ -82,15 +84,15 @@
 fn answers_on_the_wire() {
     let mut store = filled_store(1, 2);
     store.commit(&[remove(0), set(1, "{ \"a\": [1, \"x y\"] }")], &allow_all).unwrap();
-    let changes = store.changes(Version { epoch: 1, revision: 2 }, 1000);
+    let changes = store.changes_since(Version { epoch: 1, revision: 2 }, 1000);
     let text = serde_json::to_string(&changes).unwrap();
     expect![[r#"{"epoch":1,"revision":4,"from":2,"reset":false,"more":false,"digest":"bb3b63dacda51cb5","stale_ms":0,"changes":[{"revision":3,"key":"upstream/s-00000","value":null},{"revision":4,"key":"class/s-00001","value":{"a":[1,"x y"]}}]}"#]].assert_eq(&text);
-    let read: ChangesAnswer = serde_json::from_str(&text).unwrap();
+    let read: ChangesResponse = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
 
-    let text = serde_json::to_string(&store.snapshot(None, 1000)).unwrap();
+    let text = serde_json::to_string(&store.snapshot_page(None, 1000)).unwrap();
     expect![[r#"{"epoch":1,"revision":4,"records":[{"revision":4,"key":"class/s-00001","value":{"a":[1,"x y"]}}],"next":null}"#]].assert_eq(&text);
-    let read: SnapshotAnswer = serde_json::from_str(&text).unwrap();
+    let read: SnapshotResponse = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
 }
 
@@ -104,7 +106,7 @@
         r#"{"epoch":1,"revision":4,"from":2,"digest":null,"changes":[{"revision":3,"key":"x","value":1}]}"#,
     ];
     for text in texts {
-        assert!(serde_json::from_str::<ChangesAnswer>(text).is_err(), "{text}");
+        assert!(serde_json::from_str::<ChangesResponse>(text).is_err(), "{text}");
     }
 }
 
@@ -112,35 +114,36 @@
 fn a_missing_or_null_value_removes() {
     let text =
         r#"{"changes":[{"key":"class/a"},{"key":"class/b","value":null},{"key":"class/c","value":false}]}"#;
-    let commit: Commit = serde_json::from_str(text).unwrap();
+    let commit: CommitRequest = serde_json::from_str(text).unwrap();
     let are_removals: Vec<bool> = commit.changes.iter().map(|change| change.value.is_none()).collect();
     assert_eq!(are_removals, [true, true, false]);
 }
 
 #[test]
 fn targets_of_calls() {
-    let hold = Hold::UpTo(Duration::from_millis(1500));
+    let hold = LongPoll::UpTo(Duration::from_millis(1500));
     let from = Version { epoch: 2, revision: 30 };
-    let changes = Call::Changes { from, digest: Digest(0xab), hold };
+    let changes = ReplicaRequest::Changes { from, digest: Digest(0xab), hold };
     expect!["/control/changes?name=b1&epoch=2&from=30&digest=00000000000000ab&hold_ms=1500"]
         .assert_eq(&changes.target("b1"));
-    let snapshot = Call::Snapshot { after: Some(Key::new(Kind::Tenant, "a/b-1.x_~").unwrap()) };
+    let snapshot =
+        ReplicaRequest::Snapshot { after: Some(Key::new(RecordKind::Tenant, "a/b-1.x_~").unwrap()) };
     expect!["/control/snapshot?after=tenant/a/b-1.x_~"].assert_eq(&snapshot.target("b1"));
-    let odd = Call::Snapshot { after: Some(Key::new(Kind::Tenant, "a&b=%?#+\"").unwrap()) };
+    let odd = ReplicaRequest::Snapshot { after: Some(Key::new(RecordKind::Tenant, "a&b=%?#+\"").unwrap()) };
     expect!["/control/snapshot?after=tenant/a%26b%3D%25%3F%23%2B%22"].assert_eq(&odd.target("b1"));
-    expect!["/control/digests"].assert_eq(&Call::Digests.target("b1"));
-    expect!["/control/bucket?bucket=5"].assert_eq(&Call::Bucket(5).target("b1"));
+    expect!["/control/digests"].assert_eq(&ReplicaRequest::Digests.target("b1"));
+    expect!["/control/bucket?bucket=5"].assert_eq(&ReplicaRequest::Bucket(5).target("b1"));
 }
 
 #[test]
 fn encoded_keys_are_read_again() {
     for name in ["a&b=%?#+\"", "plain", "%41", "a%2Fb"] {
-        let key = Key::new(Kind::Class, name).unwrap();
-        let target = Call::Snapshot { after: Some(key.clone()) }.target("b1");
+        let key = Key::new(RecordKind::Class, name).unwrap();
+        let target = ReplicaRequest::Snapshot { after: Some(key.clone()) }.target("b1");
         let (_, encoded) = target.split_once("after=").unwrap();
-        assert_eq!(Key::parse_encoded(encoded), Ok(key));
+        assert_eq!(Key::parse_percent_encoded(encoded), Ok(key));
     }
     for text in ["class/%", "class/%4", "class/%zz", "class/%00", "class/%ff", "other/x"] {
-        assert!(Key::parse_encoded(text).is_err(), "{text}");
+        assert!(Key::parse_percent_encoded(text).is_err(), "{text}");
     }
 }
--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use clap::{Parser, ValueEnum};
-use pondlb_control::ChangesAnswer;
+use pondlb_control::ChangesResponse;
 use pondlb_control_net::{ServerOptions, serve};
 use pondlb_lab::http::{Message, Wire, answer};
 use tokio::net::{TcpListener, TcpStream};
@@ -102,7 +102,7 @@
 
     /// The answer with the fault; none where it has no room for it or is not due.
     fn spoilt(&self, body: &str) -> Option<String> {
-        let mut answer: ChangesAnswer = serde_json::from_str(body).ok()?;
+        let mut answer: ChangesResponse = serde_json::from_str(body).ok()?;
         let least = match self.fault {
             Fault::Drops => 1,
             Fault::Reorders => 2,
--- a/crates/pondlb-lab/src/scale/hollow.rs
+++ b/crates/pondlb-lab/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use pondlb_control::{Limits, Names};
+use pondlb_control::{KeyInterner, Limits};
 use pondlb_control_net::{Delivered, Following, Status, follow};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::unix::pipe::{Receiver, Sender};
@@ -56,7 +56,7 @@
 struct Process {
     assignment: Assignment,
     fault: Option<PlantedFault>,
-    names: Names,
+    names: KeyInterner,
     keys: KeyNumbers,
     balancers: Vec<Rc<Balancer>>,
     /// Those that take their first snapshot.
@@ -172,7 +172,7 @@
             starting: std::sync::Arc::new(Semaphore::new(assignment.starts_at_once as usize)),
             assignment,
             fault,
-            names: Names::default(),
+            names: KeyInterner::default(),
             keys,
             news: RefCell::default(),
             in_force: RefCell::default(),
--- a/crates/pondlb-lab/src/scale/records.rs
+++ b/crates/pondlb-lab/src/scale/records.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use nanorand::{Rng, WyRand};
-use pondlb_control::{Key, Kind, NewChange};
+use pondlb_control::{Key, NewChange, RecordKind};
 use serde::Serialize;
 use serde_json::value::{RawValue, to_raw_value};
 
@@ -206,10 +206,10 @@
 
     fn key(&self, record: Record) -> Option<Key> {
         let (kind, name) = match record {
-            Record::Upstream(number) => (Kind::Upstream, upstream_name(number)),
-            Record::Class(number) => (Kind::Class, class_name(number)),
-            Record::Tenant(number) => (Kind::Tenant, format!("tenant-{number}")),
-            Record::Limit(number) => (Kind::Limit, LIMITS.get(number as usize)?.0.to_string()),
+            Record::Upstream(number) => (RecordKind::Upstream, upstream_name(number)),
+            Record::Class(number) => (RecordKind::Class, class_name(number)),
+            Record::Tenant(number) => (RecordKind::Tenant, format!("tenant-{number}")),
+            Record::Limit(number) => (RecordKind::Limit, LIMITS.get(number as usize)?.0.to_string()),
         };
         Key::new(kind, &name).ok()
     }
--- a/crates/pondlb-lab/src/scale/report.rs
+++ b/crates/pondlb-lab/src/scale/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Display};
 
-use pondlb_control::Kind;
+use pondlb_control::RecordKind;
 use serde::Serialize;
 
 use super::measure::{Rates, Spread};
@@ -111,12 +111,12 @@
 
 impl ChangesByKind {
     /// Counts a change of a record of this kind.
-    pub fn count(&mut self, kind: Kind) {
+    pub fn count(&mut self, kind: RecordKind) {
         *match kind {
-            Kind::Upstream => &mut self.upstreams,
-            Kind::Class => &mut self.classes,
-            Kind::Tenant => &mut self.tenants,
-            Kind::Limit => &mut self.limits,
+            RecordKind::Upstream => &mut self.upstreams,
+            RecordKind::Class => &mut self.classes,
+            RecordKind::Tenant => &mut self.tenants,
+            RecordKind::Limit => &mut self.limits,
         } += 1;
     }
 }
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb_control::Kind;
+use pondlb_control::RecordKind;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -246,7 +246,7 @@
 
     async fn commit(&mut self, phase: usize, changes: Vec<pondlb_control::NewChange>) {
         let (at_us, count) = (clock::now_us(), changes.len() as u64);
-        let kinds: Vec<Kind> = changes.iter().map(|change| change.key.kind()).collect();
+        let kinds: Vec<RecordKind> = changes.iter().map(|change| change.key.kind()).collect();
         match self.servers.commit(changes).await {
             Ok(version) => {
                 let last = version.revision;
--- a/crates/pondlb-lab/src/scale/servers.rs
+++ b/crates/pondlb-lab/src/scale/servers.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use pondlb_control::{Commit, Committed, Digest, DigestsAnswer, NewChange, Version};
+use pondlb_control::{CommitRequest, CommitResponse, Digest, DigestsResponse, NewChange, Version};
 use serde::Deserialize;
 use tempfile::TempDir;
 use tokio::net::TcpStream;
@@ -131,7 +131,7 @@
         let commit = addresses.pop().ok_or(io::ErrorKind::AddrNotAvailable)?;
         let between_regions = Proxy::start(layout.listen, addresses[0]).await?;
         let first = folder.path().join("initial.json");
-        std::fs::write(&first, serde_json::to_vec(&Commit { changes: initial })?)?;
+        std::fs::write(&first, serde_json::to_vec(&CommitRequest { changes: initial })?)?;
         let mut servers = ControlServers {
             program: program.clone(),
             folder,
@@ -228,7 +228,7 @@
     /// # Errors
     /// Where the origin refuses them, or gives no answer.
     pub async fn commit(&mut self, changes: Vec<NewChange>) -> io::Result<Version> {
-        let body = serde_json::to_string(&Commit { changes })?;
+        let body = serde_json::to_string(&CommitRequest { changes })?;
         let request = format!(
             "POST /control/commit HTTP/1.1\r\nHost: lab\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -240,7 +240,7 @@
         };
         let answer = call(&mut wire, &request).await?;
         self.commit_wire = Some((wire, Instant::now()));
-        let committed: Committed = serde_json::from_str(&answer.body)?;
+        let committed: CommitResponse = serde_json::from_str(&answer.body)?;
         Ok(committed.version)
     }
 
@@ -326,7 +326,7 @@
     /// # Errors
     /// Where it gives none.
     pub async fn state(&self, number: usize) -> io::Result<ServerState> {
-        let answer: DigestsAnswer = get(self.servers[number].address, "/control/digests").await?;
+        let answer: DigestsResponse = get(self.servers[number].address, "/control/digests").await?;
         let digest = answer.buckets.iter().fold(0, |sum: u64, bucket| sum.wrapping_add(bucket.0));
         Ok(ServerState { version: answer.version, digest: Digest(digest) })
     }
--- a/crates/pondlb-lab/src/slopes/distribution/pair.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/pair.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb_control::{Key, Kind, NewChange, Version};
+use pondlb_control::{Key, NewChange, RecordKind, Version};
 use serde_json::value::{RawValue, to_raw_value};
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -70,7 +70,7 @@
     pub async fn start(bench: &Bench, options: &Options, upstreams: usize) -> io::Result<Pair> {
         let discovery = bench.discovery(upstreams).await?;
         let mut initial = records(&discovery, 0..upstreams)?;
-        initial.push(record(Kind::Class, &class_name(0), to_raw_value(&class(0))?)?);
+        initial.push(record(RecordKind::Class, &class_name(0), to_raw_value(&class(0))?)?);
         let layout = Layout::local(0);
         let servers = ControlServers::start(&options.control_server, &layout, initial).await?;
         let origin = servers.processes().first().copied().map(Process);
@@ -240,12 +240,12 @@
 fn records(discovery: &Discovery, entries: impl IntoIterator<Item = usize>) -> io::Result<Vec<NewChange>> {
     let upstream = |number| {
         let value = RawValue::from_string(discovery.entry(number))?;
-        record(Kind::Upstream, &Listing::name(number), value)
+        record(RecordKind::Upstream, &Listing::name(number), value)
     };
     entries.into_iter().map(upstream).collect()
 }
 
-fn record(kind: Kind, name: &str, value: Box<RawValue>) -> io::Result<NewChange> {
+fn record(kind: RecordKind, name: &str, value: Box<RawValue>) -> io::Result<NewChange> {
     let key = Key::new(kind, name).map_err(|fault| io::Error::other(format!("{name}: {fault}")))?;
     Ok(NewChange { key, value: Some(value) })
 }
--- a/crates/pondlb-server/src/protocol/control.rs
+++ b/crates/pondlb-server/src/protocol/control.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use pondlb_control::{Change, Kind, Update};
+use pondlb_control::{Change, RecordKind, Update};
 use pondlb_terms::{SettingChange, Target};
 
 use super::discovery::UpstreamList;
@@ -39,9 +39,9 @@
     let changes = std::mem::take(&mut update.changes);
     for change in changes {
         match change.key.kind() {
-            Kind::Upstream => update.changes.push(change),
-            Kind::Tenant => settings.tenants.push(change),
-            Kind::Class | Kind::Limit => settings.classes_and_limits.push(change),
+            RecordKind::Upstream => update.changes.push(change),
+            RecordKind::Tenant => settings.tenants.push(change),
+            RecordKind::Class | RecordKind::Limit => settings.classes_and_limits.push(change),
         }
     }
     // A class that takes another's place comes before that one goes, or there might be none between.
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -53,7 +53,7 @@
 /// Follows the control servers for as long as the program runs.
 pub async fn follow_control(control: Control, follower: Follower, notes: mpsc::UnboundedSender<Note>) {
     let Follower { name, number, seed, state_bytes, settings, status, remembered } = follower;
-    let limits = Limits { total_bytes: state_bytes, ..Limits::default() };
+    let limits = Limits { max_total_bytes: state_bytes, ..Limits::default() };
     let mut following = Following::new(control.servers, &name, number);
     (following.seed, following.hold, following.limits) = (seed, control.hold, limits);
     let (deliver, delivered) = mpsc::unbounded_channel();
@@ -91,9 +91,9 @@
             let removed = UpstreamList { removed: names.to_vec(), ..UpstreamList::default() };
             self.put_upstreams_in_force(removed, false).await?;
         }
-        let is_whole = update.whole;
-        for slice in update.slices(SLICE) {
-            let completes = is_whole && !slice.more;
+        let is_whole = update.is_whole_state;
+        for slice in update.into_batches(SLICE) {
+            let completes = is_whole && !slice.has_more;
             self.put_upstreams_in_force(upstreams_of(slice), completes).await?;
         }
         Some(())
@@ -112,7 +112,7 @@
 
     /// What is remembered from before the start and not part of the first whole state.
     fn unlisted(&mut self, update: &Update) -> Vec<String> {
-        if !update.whole {
+        if !update.is_whole_state {
             return Vec::new();
         }
         let mut unlisted = std::mem::take(&mut self.remembered);
--- a/crates/pondlb-server/tests/control/mod.rs
+++ b/crates/pondlb-server/tests/control/mod.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pondlb_control::Commit;
+use pondlb_control::CommitRequest;
 use pondlb_control_net::{Role, Server, ServerOptions};
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
@@ -53,7 +53,7 @@
     fn origin_at(listen: SocketAddr, epoch: u64, initial: &[String]) -> ControlServer {
         let initial = format!(r#"{{"changes":[{}]}}"#, initial.join(","));
         let role = move || {
-            let Commit { changes } = serde_json::from_str(&initial).unwrap();
+            let CommitRequest { changes } = serde_json::from_str(&initial).unwrap();
             Role::Origin { commit: Some(any_address()), initial: changes, epoch }
         };
         ControlServer::start(listen, role)
