--- a/crates/pondlb-control/src/held.rs
+++ b/crates/pondlb-control/src/active_state.rs
@@ -9,9 +9,9 @@
 
 /// The records that a replica has in force.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct ActiveState {
     pub(crate) limits: Limits,
-    pub(crate) names: KeyInterner,
+    pub(crate) key_interner: KeyInterner,
     pub(crate) version: Version,
     pub(crate) records: RecordHashes,
 }
@@ -27,9 +27,9 @@
 
 /// What the records would be with some changes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct ProjectedState {
     pub(crate) digest: Digest,
-    pub(crate) records: usize,
+    pub(crate) record_count: usize,
 }
 
 impl HashedChange {
@@ -45,15 +45,15 @@
     }
 }
 
-impl Held {
+impl ActiveState {
     /// Whether the limits and the checker allow a value. One that is in force is not checked again.
-    pub(crate) fn verify_value(
+    pub(crate) fn validate_value(
         &self,
         hashed: &HashedChange,
-        check: &RecordValidator<'_>,
+        validate: &RecordValidator<'_>,
     ) -> Result<(), Rejection> {
         let Change { key, value, .. } = &hashed.change;
-        if self.hash_in_force(hashed) == hashed.hash {
+        if self.active_hash(hashed) == hashed.hash {
             return Ok(());
         }
         let text = value.as_deref().map(|value| value.get());
@@ -68,32 +68,32 @@
                 max: self.limits.max_value_bytes,
             });
         }
-        check(key, text).map_err(|reason| Rejection::InvalidRecord { key: key.clone(), reason })
+        validate(key, text).map_err(|reason| Rejection::InvalidRecord { key: key.clone(), reason })
     }
 
     /// The hash that the record has as it is in force.
-    pub(crate) fn hash_in_force(&self, HashedChange { change, key_hash, .. }: &HashedChange) -> Option<u64> {
+    pub(crate) fn active_hash(&self, HashedChange { change, key_hash, .. }: &HashedChange) -> Option<u64> {
         self.records.get(&change.key, *key_hash)
     }
 
     /// What the records would be with these changes, each of another record.
-    pub(crate) fn outlook(&self, changes: &[HashedChange]) -> Outlook {
+    pub(crate) fn project(&self, changes: &[HashedChange]) -> ProjectedState {
         let mut digest = self.records.digest().0;
         let mut records = self.records.len();
         for change in changes {
-            let before = self.hash_in_force(change);
+            let before = self.active_hash(change);
             digest = digest.wrapping_sub(before.unwrap_or(0)).wrapping_add(change.hash.unwrap_or(0));
             records -= usize::from(before.is_some());
             records += usize::from(change.hash.is_some());
         }
-        Outlook { digest: Digest(digest), records }
+        ProjectedState { digest: Digest(digest), record_count: records }
     }
 
     /// The digests of all buckets as they would be with these changes, each of another record.
-    pub(crate) fn bucket_digests_with(&self, changes: &[HashedChange]) -> Vec<Digest> {
+    pub(crate) fn projected_bucket_digests(&self, changes: &[HashedChange]) -> Vec<Digest> {
         let mut digests: Vec<Digest> = self.records.bucket_digests().collect();
         for change in changes {
-            let before = self.hash_in_force(change).unwrap_or(0);
+            let before = self.active_hash(change).unwrap_or(0);
             let Digest(digest) = &mut digests[change.key_hash.bucket()];
             *digest = digest.wrapping_sub(before).wrapping_add(change.hash.unwrap_or(0));
         }
@@ -104,7 +104,7 @@
     pub(crate) fn apply(&mut self, HashedChange { change, key_hash, hash }: &HashedChange) {
         match hash {
             Some(hash) => {
-                self.records.set(&change.key, *key_hash, *hash, |key| self.names.intern(key.clone()));
+                self.records.set(&change.key, *key_hash, *hash, |key| self.key_interner.intern(key.clone()));
             }
             None => self.records.remove(&change.key, *key_hash),
         }
@@ -112,48 +112,48 @@
 }
 
 /// Whether the limits allow so many records.
-pub(crate) fn verify_count(records: usize, limits: &Limits) -> Result<(), Rejection> {
+pub(crate) fn verify_record_count(records: usize, limits: &Limits) -> Result<(), Rejection> {
     let most = limits.max_records;
     if records > most { Err(Rejection::TooManyRecords { records, max: most }) } else { Ok(()) }
 }
 
 /// Whether an answered version is no older than a held one.
-pub(crate) fn verify_not_older(answered: Version, held: Version) -> Result<(), Rejection> {
-    if answered.epoch == 0 {
+pub(crate) fn verify_not_older(received: Version, active: Version) -> Result<(), Rejection> {
+    if received.epoch == 0 {
         return Err(Rejection::ServerWithoutState);
     }
-    if answered.epoch < held.epoch {
-        return Err(Rejection::OlderEpoch { received: answered, active: held });
+    if received.epoch < active.epoch {
+        return Err(Rejection::OlderEpoch { received, active });
     }
-    if answered < held {
-        return Err(Rejection::OlderRevision { received: answered, active: held });
+    if received < active {
+        return Err(Rejection::OlderRevision { received, active });
     }
     Ok(())
 }
 
 /// Whether changes follow on the revision that was asked for, in ascending order and each of another record.
 pub(crate) fn verify_changes(
-    answer: &ChangesResponse,
+    response: &ChangesResponse,
     changes: &[HashedChange],
-    asked: u64,
+    requested: u64,
 ) -> Result<(), Rejection> {
-    if answer.from_revision != asked {
-        return Err(Rejection::WrongBaseRevision { received: answer.from_revision, requested: asked });
+    if response.from_revision != requested {
+        return Err(Rejection::WrongBaseRevision { received: response.from_revision, requested });
     }
-    if answer.has_more && changes.is_empty() {
+    if response.has_more && changes.is_empty() {
         return Err(Rejection::EmptyPage);
     }
-    let mut before = asked;
+    let mut before = requested;
     for Change { revision, key, .. } in changes.iter().map(|hashed| &hashed.change) {
-        if *revision <= before || *revision > answer.version.revision {
+        if *revision <= before || *revision > response.version.revision {
             return Err(Rejection::InvalidRevision { key: key.clone(), revision: *revision });
         }
         before = *revision;
     }
-    verify_different_keys(changes)
+    verify_distinct_keys(changes)
 }
 
-fn verify_different_keys(changes: &[HashedChange]) -> Result<(), Rejection> {
+fn verify_distinct_keys(changes: &[HashedChange]) -> Result<(), Rejection> {
     let mut key_hashes: Vec<KeyHash> = changes.iter().map(|change| change.key_hash).collect();
     key_hashes.sort_unstable();
     if key_hashes.is_sorted_by(|one, next| one < next) {
--- a/crates/pondlb-control/src/commit.rs
+++ b/crates/pondlb-control/src/commit.rs
@@ -4,7 +4,7 @@
 
 use serde_json::value::RawValue;
 
-use crate::json::{NULL, compact_value};
+use crate::json::{NULL, value_without_whitespace};
 use crate::{Key, Limits, NewChange, RecordValidator};
 
 /// Why nothing of a commit is taken.
@@ -57,7 +57,7 @@
 
 /// How much a store holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Extent {
+pub(crate) struct StoreSize {
     /// Number of records.
     pub(crate) records: usize,
     /// Bytes of keys and values.
@@ -65,20 +65,20 @@
 }
 
 /// The values of a commit with their texts normalised, each within the limits and allowed by the checker.
-pub(crate) fn checked_values(
+pub(crate) fn validated_values(
     changes: &[NewChange],
     limits: &Limits,
-    check: &RecordValidator<'_>,
+    validate: &RecordValidator<'_>,
 ) -> Result<Vec<Option<Box<RawValue>>>, CommitError> {
-    changes.iter().map(|change| checked_value(change, limits, check)).collect()
+    changes.iter().map(|change| validated_value(change, limits, validate)).collect()
 }
 
-fn checked_value(
+fn validated_value(
     NewChange { key, value }: &NewChange,
     limits: &Limits,
-    check: &RecordValidator<'_>,
+    validate: &RecordValidator<'_>,
 ) -> Result<Option<Box<RawValue>>, CommitError> {
-    let compacted = value.as_deref().map(compact_value).transpose();
+    let compacted = value.as_deref().map(value_without_whitespace).transpose();
     let value = compacted.map_err(|_| CommitError::InvalidJson(key.clone()))?;
     let text = value.as_deref().map(RawValue::get);
     if text == Some(NULL) {
@@ -88,36 +88,36 @@
     if bytes > limits.max_value_bytes {
         return Err(CommitError::ValueTooLong { key: key.clone(), bytes, max: limits.max_value_bytes });
     }
-    check(key, text).map_err(|reason| CommitError::InvalidRecord { key: key.clone(), reason })?;
+    validate(key, text).map_err(|reason| CommitError::InvalidRecord { key: key.clone(), reason })?;
     Ok(value)
 }
 
 /// How much a store holds after these changes, if it holds `extent` before; `held` tells the length of a value held.
-pub(crate) fn extent_after(
-    mut extent: Extent,
+pub(crate) fn size_after(
+    mut size: StoreSize,
     changes: &[NewChange],
     values: &[Option<Box<RawValue>>],
-    held: impl Fn(&Key) -> Option<usize>,
-) -> Extent {
-    let mut changed: HashMap<&Key, Option<usize>> = HashMap::with_capacity(changes.len());
+    active_value_bytes: impl Fn(&Key) -> Option<usize>,
+) -> StoreSize {
+    let mut changed_lengths: HashMap<&Key, Option<usize>> = HashMap::with_capacity(changes.len());
     for (NewChange { key, .. }, value) in changes.iter().zip(values) {
         let after = value.as_deref().map(|value| value.get().len());
-        let before = changed.insert(key, after).unwrap_or_else(|| held(key));
+        let before = changed_lengths.insert(key, after).unwrap_or_else(|| active_value_bytes(key));
         if let Some(length) = before {
-            extent.records -= 1;
-            extent.bytes -= key.as_str().len() + length;
+            size.records -= 1;
+            size.bytes -= key.as_str().len() + length;
         }
         if let Some(length) = after {
-            extent.records += 1;
-            extent.bytes += key.as_str().len() + length;
+            size.records += 1;
+            size.bytes += key.as_str().len() + length;
         }
     }
-    extent
+    size
 }
 
-impl Extent {
+impl StoreSize {
     /// Whether the limits allow so much.
-    pub(crate) fn keep(&self, limits: &Limits) -> Result<(), CommitError> {
+    pub(crate) fn verify_within(&self, limits: &Limits) -> Result<(), CommitError> {
         if self.records > limits.max_records {
             return Err(CommitError::TooManyRecords { records: self.records, max: limits.max_records });
         }
--- a/crates/pondlb-control/src/json.rs
+++ b/crates/pondlb-control/src/json.rs
@@ -6,28 +6,28 @@
 pub(crate) const NULL: &str = "null";
 
 /// The text without white space outside strings. Numbers, and the order of keys, stay as written.
-pub(crate) fn compact(text: &str) -> String {
+pub(crate) fn without_whitespace(text: &str) -> String {
     let mut compact = String::with_capacity(text.len());
     let mut in_string = false;
     let mut is_escaped = false;
     for character in text.chars() {
-        let is_space = matches!(character, ' ' | '\t' | '\n' | '\r');
-        if in_string || !is_space {
+        let is_whitespace = matches!(character, ' ' | '\t' | '\n' | '\r');
+        if in_string || !is_whitespace {
             compact.push(character);
         }
-        let ends_or_begins_string = character == '"' && !is_escaped;
+        let is_string_delimiter = character == '"' && !is_escaped;
         is_escaped = in_string && character == '\\' && !is_escaped;
-        in_string ^= ends_or_begins_string;
+        in_string ^= is_string_delimiter;
     }
     compact
 }
 
 /// The length of a text as a JSON string without its quotes, for text of printable ASCII.
-pub(crate) fn escaped_len(text: &str) -> usize {
+pub(crate) fn escaped_bytes(text: &str) -> usize {
     text.len() + text.bytes().filter(|byte| matches!(byte, b'"' | b'\\')).count()
 }
 
 /// The value of a compacted text.
-pub(crate) fn compact_value(value: &RawValue) -> Result<Box<RawValue>, serde_json::Error> {
-    RawValue::from_string(compact(value.get()))
+pub(crate) fn value_without_whitespace(value: &RawValue) -> Result<Box<RawValue>, serde_json::Error> {
+    RawValue::from_string(without_whitespace(value.get()))
 }
--- a/crates/pondlb-control/src/key.rs
+++ b/crates/pondlb-control/src/key.rs
@@ -7,7 +7,7 @@
 use serde::de::{self, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::percent;
+use crate::percent_encoding;
 
 /// The longest name of a record, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
@@ -79,7 +79,8 @@
     /// # Errors
     /// [`KeyError`] as from [`Key::parse`], also where the encoding is wrong.
     pub fn parse_percent_encoded(encoded: &str) -> Result<Key, KeyError> {
-        let text = percent::decode(encoded).ok_or_else(|| KeyError::InvalidName(encoded.to_string()))?;
+        let text =
+            percent_encoding::decode(encoded).ok_or_else(|| KeyError::InvalidName(encoded.to_string()))?;
         Key::parse(&text)
     }
 
@@ -105,7 +106,7 @@
     }
 
     /// Whether the allocation has other holders than this one.
-    pub(crate) fn is_held_elsewhere(&self) -> bool {
+    pub(crate) fn is_shared(&self) -> bool {
         Rc::strong_count(&self.0) > 1
     }
 }
--- a/crates/pondlb-control/src/names.rs
+++ b/crates/pondlb-control/src/key_interner.rs
@@ -9,16 +9,16 @@
 use crate::digest::KeyHasher;
 
 /// Up to how many keys none is looked through for being out of use.
-const FEWEST_TO_PRUNE: usize = 1024;
+const MIN_KEYS_TO_PRUNE: usize = 1024;
 
 /// Shares equal keys between the replicas of one process. Clones share the same table.
 #[derive(Clone, Debug, Default)]
-pub struct KeyInterner(Rc<RefCell<Table>>);
+pub struct KeyInterner(Rc<RefCell<KeyTable>>);
 
 #[derive(Debug, Default)]
-struct Table {
+struct KeyTable {
     keys: HashSet<Key, BuildHasherDefault<KeyHasher>>,
-    prune_at: usize,
+    prune_at_key_count: usize,
 }
 
 impl KeyInterner {
@@ -28,8 +28,8 @@
         if let Some(shared) = table.keys.get(&key) {
             return shared.clone();
         }
-        if table.keys.len() >= table.prune_at {
-            table.prune();
+        if table.keys.len() >= table.prune_at_key_count {
+            table.remove_unused();
         }
         table.keys.insert(key.clone());
         key
@@ -46,11 +46,11 @@
     }
 }
 
-impl Table {
+impl KeyTable {
     /// Forgets the keys that nobody else holds. The next look is due once the table has doubled, so that it costs
     /// each new key the same.
-    fn prune(&mut self) {
-        self.keys.retain(Key::is_held_elsewhere);
-        self.prune_at = FEWEST_TO_PRUNE.max(self.keys.len() * 2);
+    fn remove_unused(&mut self) {
+        self.keys.retain(Key::is_shared);
+        self.prune_at_key_count = MIN_KEYS_TO_PRUNE.max(self.keys.len() * 2);
     }
 }
--- a/crates/pondlb-control/src/lib.rs
+++ b/crates/pondlb-control/src/lib.rs
@@ -4,17 +4,17 @@
 //! a replica that asks for the changes since its version and compares digests. Nothing here does I/O or reads a clock.
 //! docs/control.md describes the protocol.
 
+mod active_state;
 mod change_log;
 mod commit;
 mod digest;
-mod held;
 mod json;
 mod key;
+mod key_interner;
 mod limits;
 mod message;
-mod names;
-mod pending;
-mod percent;
+mod pending_response;
+mod percent_encoding;
 mod record_hashes;
 mod rejection;
 mod repair;
@@ -27,13 +27,13 @@
 pub use commit::CommitError;
 pub use digest::BUCKET_COUNT;
 pub use key::{Key, KeyError, MAX_NAME_BYTES, RecordKind};
+pub use key_interner::KeyInterner;
 pub use limits::Limits;
 pub use message::{
     BucketResponse, Change, ChangesResponse, CommitRequest, CommitResponse, Digest, DigestsResponse,
     LongPoll, NewChange, ReplicaRequest, SnapshotResponse, Version,
 };
-pub use names::KeyInterner;
-pub use pending::PendingResponse;
+pub use pending_response::PendingResponse;
 pub use rejection::Rejection;
 pub use replica::{Progress, RecordValidator, Replica, ReplicaResponse};
 pub use rotation::Rotation;
--- a/crates/pondlb-control/src/limits.rs
+++ b/crates/pondlb-control/src/limits.rs
@@ -28,7 +28,7 @@
 impl Limits {
     /// The bounds that hold while more changes follow, or at the end. Until then records may be held that are removed
     /// further on, beside those that came after them.
-    pub(crate) fn at_piece(&self, more: bool) -> Limits {
+    pub(crate) fn for_page(&self, more: bool) -> Limits {
         if !more {
             return *self;
         }
--- a/crates/pondlb-control/src/message.rs
+++ b/crates/pondlb-control/src/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::value::RawValue;
 
-use crate::{Key, percent};
+use crate::{Key, percent_encoding};
 
 /// A state of all records: the epoch of the origin that numbered its changes, and the last change that it holds.
 /// A newer epoch replaces an older one as a whole; within an epoch a higher revision is newer.
@@ -179,8 +179,8 @@
 
 impl ReplicaRequest {
     /// The target of the request: path and query, keys and names percent-encoded. `name` is the caller's, for the server's table of followers.
-    pub fn target(&self, name: &str) -> String {
-        let name = percent::encode(name);
+    pub fn target(&self, follower_name: &str) -> String {
+        let name = percent_encoding::encode(follower_name);
         match self {
             ReplicaRequest::Changes { from: Version { epoch, revision }, digest, hold } => {
                 let hold_ms = match hold {
@@ -193,7 +193,7 @@
             }
             ReplicaRequest::Snapshot { after: None } => "/control/snapshot".into(),
             ReplicaRequest::Snapshot { after: Some(after) } => {
-                format!("/control/snapshot?after={}", percent::encode(after.as_str()))
+                format!("/control/snapshot?after={}", percent_encoding::encode(after.as_str()))
             }
             ReplicaRequest::Digests => "/control/digests".into(),
             ReplicaRequest::Bucket(bucket) => format!("/control/bucket?bucket={bucket}"),
--- a/crates/pondlb-control/src/record_hashes.rs
+++ b/crates/pondlb-control/src/record_hashes.rs
@@ -4,8 +4,8 @@
 use crate::{Digest, Key};
 
 /// A bucket that is full makes room for this part of what it holds, and for a few records at least.
-const SPARE_PART: usize = 8;
-const FEWEST_SPARE: usize = 4;
+const SPARE_CAPACITY_DIVISOR: usize = 8;
+const MIN_SPARE_CAPACITY: usize = 4;
 
 /// The keys and hashes of a set of records, in buckets whose digests are kept up with each change.
 ///
@@ -14,7 +14,7 @@
 pub(crate) struct RecordHashes {
     buckets: Vec<Bucket>,
     digest: u64,
-    len: usize,
+    record_count: usize,
 }
 
 /// The records of one bucket in the order of their fingerprints, and of their keys where these are the same. A search
@@ -36,11 +36,11 @@
 impl RecordHashes {
     /// Those of no record.
     pub(crate) fn new() -> RecordHashes {
-        RecordHashes { buckets: vec![Bucket::default(); BUCKET_COUNT], digest: 0, len: 0 }
+        RecordHashes { buckets: vec![Bucket::default(); BUCKET_COUNT], digest: 0, record_count: 0 }
     }
 
     /// The same records without the room that growing has left.
-    pub(crate) fn compacted(mut self) -> RecordHashes {
+    pub(crate) fn shrunk_to_fit(mut self) -> RecordHashes {
         for bucket in &mut self.buckets {
             bucket.fingerprints.shrink_to_fit();
             bucket.records.shrink_to_fit();
@@ -55,24 +55,24 @@
 
     /// How many records there are.
     pub(crate) fn len(&self) -> usize {
-        self.len
+        self.record_count
     }
 
     /// The hash of a record.
     pub(crate) fn get(&self, key: &Key, key_hash: KeyHash) -> Option<u64> {
         let bucket = &self.buckets[key_hash.bucket()];
-        let place = bucket.find(key, key_hash).ok()?;
-        Some(bucket.records[place].hash)
+        let index = bucket.find(key, key_hash).ok()?;
+        Some(bucket.records[index].hash)
     }
 
     /// Sets the hash of a record. `share` gives the key to keep where the record is new.
     pub(crate) fn set(&mut self, key: &Key, key_hash: KeyHash, hash: u64, share: impl FnOnce(&Key) -> Key) {
         let bucket = &mut self.buckets[key_hash.bucket()];
         let before = match bucket.find(key, key_hash) {
-            Ok(place) => std::mem::replace(&mut bucket.records[place].hash, hash),
-            Err(place) => {
-                bucket.insert(place, key_hash, HashedRecord { key: share(key), hash });
-                self.len += 1;
+            Ok(index) => std::mem::replace(&mut bucket.records[index].hash, hash),
+            Err(index) => {
+                bucket.insert(index, key_hash, HashedRecord { key: share(key), hash });
+                self.record_count += 1;
                 0
             }
         };
@@ -84,12 +84,12 @@
     /// Takes a record out.
     pub(crate) fn remove(&mut self, key: &Key, key_hash: KeyHash) {
         let bucket = &mut self.buckets[key_hash.bucket()];
-        if let Ok(place) = bucket.find(key, key_hash) {
-            bucket.fingerprints.remove(place);
-            let HashedRecord { hash, .. } = bucket.records.remove(place);
+        if let Ok(index) = bucket.find(key, key_hash) {
+            bucket.fingerprints.remove(index);
+            let HashedRecord { hash, .. } = bucket.records.remove(index);
             bucket.digest = bucket.digest.wrapping_sub(hash);
             self.digest = self.digest.wrapping_sub(hash);
-            self.len -= 1;
+            self.record_count -= 1;
         }
     }
 
@@ -122,18 +122,18 @@
         let first = self.fingerprints.partition_point(|other| *other < fingerprint);
         let alike = self.fingerprints[first..].iter().take_while(|other| **other == fingerprint).count();
         let found = self.records[first..first + alike].binary_search_by(|record| record.key.cmp(key));
-        found.map(|place| first + place).map_err(|place| first + place)
+        found.map(|index| first + index).map_err(|index| first + index)
     }
 
-    fn insert(&mut self, place: usize, key_hash: KeyHash, record: HashedRecord) {
+    fn insert(&mut self, index: usize, key_hash: KeyHash, record: HashedRecord) {
         // Doubling would leave half of the memory unused in buckets that hardly grow any more.
         if self.records.len() == self.records.capacity() {
-            let spare = FEWEST_SPARE.max(self.records.len() / SPARE_PART);
+            let spare = MIN_SPARE_CAPACITY.max(self.records.len() / SPARE_CAPACITY_DIVISOR);
             self.fingerprints.reserve_exact(spare);
             self.records.reserve_exact(spare);
         }
-        self.fingerprints.insert(place, key_hash.fingerprint());
-        self.records.insert(place, record);
+        self.fingerprints.insert(index, key_hash.fingerprint());
+        self.records.insert(index, record);
     }
 
     fn keys(&self) -> impl Iterator<Item = &Key> {
--- a/crates/pondlb-control/src/replica.rs
+++ b/crates/pondlb-control/src/replica.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-use crate::held::{HashedChange, Held, verify_changes, verify_count, verify_not_older};
-use crate::pending::CheckedRecords;
+use crate::active_state::{ActiveState, HashedChange, verify_changes, verify_not_older, verify_record_count};
+use crate::pending_response::ValidatedRecords;
 use crate::record_hashes::RecordHashes;
-use crate::repair::{Repair, RepairStep, Repaired};
-use crate::snapshot::{SnapshotStep, StagedSnapshot, WholeState};
+use crate::repair::{CompletedRepair, Repair, RepairStep};
+use crate::snapshot::{SnapshotStep, StagedSnapshot, VerifiedSnapshot};
 use crate::{
     BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, KeyInterner, Limits, LongPoll,
     PendingResponse, Rejection, ReplicaRequest, SnapshotResponse, Update, Version,
 };
 
 /// After how many failed repairs in a row a snapshot is taken.
-const MOST_FAILED_REPAIRS: u32 = 3;
+const MAX_CONSECUTIVE_FAILED_REPAIRS: u32 = 3;
 
 /// How often in a row a snapshot starts over before the server is given up.
-const MOST_INTERRUPTIONS: u32 = 3;
+const MAX_CONSECUTIVE_INTERRUPTIONS: u32 = 3;
 
 /// Says whether a value may be taken for a record, or a record be removed, and why not.
 pub type RecordValidator<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
@@ -25,19 +25,19 @@
 /// consumer.
 #[derive(Debug)]
 pub struct Replica {
-    held: Held,
+    active: ActiveState,
     phase: Phase,
     is_in_sync: bool,
     /// Whether the version in force was handed on with its digest.
-    is_verified: bool,
-    failed_repairs: u32,
-    interruptions: u32,
+    is_version_verified: bool,
+    consecutive_failed_repairs: u32,
+    consecutive_interruptions: u32,
 }
 
 #[derive(Debug)]
 enum Phase {
     /// Follows changes; in a hurry where more of them are known to be there.
-    Following { hurry: bool },
+    Following { poll_immediately: bool },
     /// Takes a whole state.
     Snapshot(Box<StagedSnapshot>),
     /// Repairs a wrong digest.
@@ -72,28 +72,33 @@
     /// A replica that holds nothing.
     pub fn new(limits: Limits, names: KeyInterner) -> Replica {
         Replica {
-            held: Held { limits, names, version: Version::default(), records: RecordHashes::new() },
+            active: ActiveState {
+                limits,
+                key_interner: names,
+                version: Version::default(),
+                records: RecordHashes::new(),
+            },
             phase: Phase::begin_snapshot(),
             is_in_sync: false,
-            is_verified: false,
-            failed_repairs: 0,
-            interruptions: 0,
+            is_version_verified: false,
+            consecutive_failed_repairs: 0,
+            consecutive_interruptions: 0,
         }
     }
 
     /// The version in force.
     pub fn version(&self) -> Version {
-        self.held.version
+        self.active.version
     }
 
     /// The digest of the records in force.
     pub fn digest(&self) -> Digest {
-        self.held.records.digest()
+        self.active.records.digest()
     }
 
     /// How many records are in force.
     pub fn len(&self) -> usize {
-        self.held.records.len()
+        self.active.records.len()
     }
 
     /// Whether no record is in force.
@@ -107,24 +112,24 @@
     }
 
     /// What to ask next. The server may hold its answer for `hold` unless more is known to be there.
-    pub fn next_request(&self, hold: Duration) -> ReplicaRequest {
+    pub fn next_request(&self, max_hold: Duration) -> ReplicaRequest {
         match &self.phase {
-            Phase::Following { hurry } => {
-                let hold = if *hurry { LongPoll::No } else { LongPoll::UpTo(hold) };
+            Phase::Following { poll_immediately: hurry } => {
+                let hold = if *hurry { LongPoll::No } else { LongPoll::UpTo(max_hold) };
                 ReplicaRequest::Changes { from: self.version(), digest: self.digest(), hold }
             }
-            Phase::Snapshot(staged) => staged.next_call(hold, self.digest()),
-            Phase::Repair(repair) => repair.next_call(),
+            Phase::Snapshot(staged) => staged.next_request(max_hold, self.digest()),
+            Phase::Repair(repair) => repair.next_request(),
         }
     }
 
     /// Another server answers from now on: a half-taken snapshot or repair starts over.
     pub fn reset_for_new_server(&mut self) {
-        self.interruptions = 0;
+        self.consecutive_interruptions = 0;
         match self.phase {
-            Phase::Following { .. } => self.phase = Phase::Following { hurry: true },
+            Phase::Following { .. } => self.phase = Phase::Following { poll_immediately: true },
             Phase::Snapshot(_) => self.phase = Phase::begin_snapshot(),
-            Phase::Repair(_) => self.end_failed_repair(),
+            Phase::Repair(_) => self.abandon_repair(),
         }
     }
 
@@ -134,16 +139,21 @@
     /// [`Rejection`] where nothing of it is taken. What was in force stays so.
     pub fn receive(
         &mut self,
-        answer: ReplicaResponse,
-        check: &RecordValidator<'_>,
+        response: ReplicaResponse,
+        validate: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
-        self.receive_validated(PendingResponse::new(answer), check)
+        self.receive_validated(PendingResponse::new(response), validate)
     }
 
     /// Hashes and checks the next records of an answer, at most so many: for who has other things to do between.
     /// Nothing of it is taken before [`Replica::receive_validated`].
-    pub fn validate_batch(&self, pending: &mut PendingResponse, check: &RecordValidator<'_>, most: usize) {
-        pending.check_slice(&self.held, check, most);
+    pub fn validate_batch(
+        &self,
+        pending: &mut PendingResponse,
+        validate: &RecordValidator<'_>,
+        max_records: usize,
+    ) {
+        pending.validate_batch(&self.active, validate, max_records);
     }
 
     /// Takes an answer as [`Replica::receive`] does, after as many of its records were checked as have been.
@@ -153,83 +163,88 @@
     pub fn receive_validated(
         &mut self,
         pending: PendingResponse,
-        check: &RecordValidator<'_>,
+        validate: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
-        let (answer, records) = pending.into_checked(&self.held, check);
-        match answer {
-            ReplicaResponse::Changes(answer) => self.receive_changes(answer, records, check),
-            ReplicaResponse::Snapshot(answer) => {
+        let (response, records) = pending.into_validated(&self.active, validate);
+        match response {
+            ReplicaResponse::Changes(response) => self.receive_changes(response, records, validate),
+            ReplicaResponse::Snapshot(response) => {
                 let Phase::Snapshot(staged) = &mut self.phase else {
                     return Err(Rejection::UnexpectedResponse);
                 };
-                let step = staged.receive_piece(answer, records, &self.held);
-                self.go_on_with_snapshot(step)
+                let step = staged.receive_page(response, records, &self.active);
+                self.handle_snapshot_step(step)
             }
-            ReplicaResponse::Digests(answer) => {
+            ReplicaResponse::Digests(response) => {
                 let Phase::Repair(repair) = &mut self.phase else {
                     return Err(Rejection::UnexpectedResponse);
                 };
-                let step = repair.receive_digests(answer, &self.held);
-                self.go_on_with_repair(step)
+                let step = repair.receive_digests(response, &self.active);
+                self.handle_repair_step(step)
             }
-            ReplicaResponse::Bucket(answer) => {
+            ReplicaResponse::Bucket(response) => {
                 let Phase::Repair(repair) = &mut self.phase else {
                     return Err(Rejection::UnexpectedResponse);
                 };
-                let step = repair.receive_bucket(answer, records, &self.held, check);
-                self.go_on_with_repair(step)
+                let step = repair.receive_bucket(response, records, &self.active, validate);
+                self.handle_repair_step(step)
             }
         }
     }
 
     fn receive_changes(
         &mut self,
-        answer: ChangesResponse,
-        changes: CheckedRecords,
-        check: &RecordValidator<'_>,
+        response: ChangesResponse,
+        changes: ValidatedRecords,
+        validate: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
         match &mut self.phase {
-            Phase::Following { .. } => self.follow(answer, changes),
+            Phase::Following { .. } => self.receive_followed_changes(response, changes),
             Phase::Snapshot(staged) => {
-                let step = staged.receive_changes(answer, changes, &self.held, check);
-                self.go_on_with_snapshot(step)
+                let step = staged.receive_changes(response, changes, &self.active, validate);
+                self.handle_snapshot_step(step)
             }
             Phase::Repair(_) => Err(Rejection::UnexpectedResponse),
         }
     }
 
-    fn follow(&mut self, answer: ChangesResponse, changes: CheckedRecords) -> Result<Progress, Rejection> {
-        verify_not_older(answer.version, self.held.version)?;
-        if answer.version.epoch > self.held.version.epoch || answer.reset {
+    fn receive_followed_changes(
+        &mut self,
+        response: ChangesResponse,
+        changes: ValidatedRecords,
+    ) -> Result<Progress, Rejection> {
+        verify_not_older(response.version, self.active.version)?;
+        if response.version.epoch > self.active.version.epoch || response.reset {
             self.phase = Phase::begin_snapshot();
             return Ok(Progress::Pending);
         }
-        verify_changes(&answer, &changes.records, self.held.version.revision)?;
-        let changes = changes.accepted()?;
-        let outlook = self.held.outlook(&changes);
-        verify_count(outlook.records, &self.held.limits.at_piece(answer.has_more))?;
-        let told = answer.digest.filter(|_| !answer.has_more);
-        if let Some(told) = told.filter(|told| *told != outlook.digest) {
+        verify_changes(&response, &changes.records, self.active.version.revision)?;
+        let changes = changes.into_accepted()?;
+        let outlook = self.active.project(&changes);
+        verify_record_count(outlook.record_count, &self.active.limits.for_page(response.has_more))?;
+        let expected = response.digest.filter(|_| !response.has_more);
+        if let Some(expected) = expected.filter(|expected| *expected != outlook.digest) {
             self.is_in_sync = false;
-            self.phase = Phase::Repair(Box::new(Repair::new(answer.version, told, changes)));
+            self.phase = Phase::Repair(Box::new(Repair::new(response.version, expected, changes)));
             return Ok(Progress::Pending);
         }
-        self.phase = Phase::Following { hurry: answer.has_more };
-        if told.is_some() {
-            self.note_right_digest();
+        self.phase = Phase::Following { poll_immediately: response.has_more };
+        if expected.is_some() {
+            self.record_digest_match();
         }
-        let is_news = answer.version > self.held.version || told.is_some() && !self.is_verified;
+        let is_news =
+            response.version > self.active.version || expected.is_some() && !self.is_version_verified;
         if changes.is_empty() && !is_news {
             return Ok(Progress::Unchanged);
         }
-        Ok(Progress::Applied(self.apply(answer.version, told, changes, answer.has_more)))
+        Ok(Progress::Applied(self.apply(response.version, expected, changes, response.has_more)))
     }
 
-    fn go_on_with_snapshot(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
+    fn handle_snapshot_step(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(SnapshotStep::Pending) => Ok(Progress::Pending),
-            Ok(SnapshotStep::StartOver) => self.start_snapshot_over(),
-            Ok(SnapshotStep::Complete(state)) => Ok(Progress::Applied(self.take_whole_state(*state))),
+            Ok(SnapshotStep::Interrupted) => self.restart_snapshot(),
+            Ok(SnapshotStep::Complete(state)) => Ok(Progress::Applied(self.apply_whole_state(*state))),
             Err(rejection) => {
                 if let Rejection::DigestMismatch { .. } = rejection {
                     self.phase = Phase::begin_snapshot();
@@ -239,52 +254,52 @@
         }
     }
 
-    fn start_snapshot_over(&mut self) -> Result<Progress, Rejection> {
+    fn restart_snapshot(&mut self) -> Result<Progress, Rejection> {
         self.phase = Phase::begin_snapshot();
-        self.interruptions += 1;
-        if self.interruptions < MOST_INTERRUPTIONS {
+        self.consecutive_interruptions += 1;
+        if self.consecutive_interruptions < MAX_CONSECUTIVE_INTERRUPTIONS {
             return Ok(Progress::Pending);
         }
-        Err(Rejection::SnapshotsInterrupted(std::mem::take(&mut self.interruptions)))
+        Err(Rejection::SnapshotsInterrupted(std::mem::take(&mut self.consecutive_interruptions)))
     }
 
-    fn go_on_with_repair(&mut self, step: Result<RepairStep, Rejection>) -> Result<Progress, Rejection> {
+    fn handle_repair_step(&mut self, step: Result<RepairStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(RepairStep::Pending) => Ok(Progress::Pending),
-            Ok(RepairStep::Complete(Repaired { version, digest, changes })) => {
-                self.note_right_digest();
-                self.phase = Phase::Following { hurry: false };
+            Ok(RepairStep::Complete(CompletedRepair { version, digest, changes })) => {
+                self.record_digest_match();
+                self.phase = Phase::Following { poll_immediately: false };
                 Ok(Progress::Applied(self.apply(version, Some(digest), changes, false)))
             }
-            Ok(RepairStep::MovedOn) => {
-                self.end_failed_repair();
+            Ok(RepairStep::ServerAdvanced) => {
+                self.abandon_repair();
                 match self.phase {
-                    Phase::Snapshot(_) => Err(Rejection::RepairsFailed(MOST_FAILED_REPAIRS)),
+                    Phase::Snapshot(_) => Err(Rejection::RepairsFailed(MAX_CONSECUTIVE_FAILED_REPAIRS)),
                     _ => Ok(Progress::Pending),
                 }
             }
             Err(Rejection::UnexpectedResponse) => Err(Rejection::UnexpectedResponse),
             Err(rejection) => {
-                self.end_failed_repair();
+                self.abandon_repair();
                 Err(rejection)
             }
         }
     }
 
     /// Follows changes again, or begins a snapshot where too many repairs have failed.
-    fn end_failed_repair(&mut self) {
-        self.failed_repairs += 1;
-        self.phase = Phase::Following { hurry: true };
-        if self.failed_repairs >= MOST_FAILED_REPAIRS {
-            self.failed_repairs = 0;
+    fn abandon_repair(&mut self) {
+        self.consecutive_failed_repairs += 1;
+        self.phase = Phase::Following { poll_immediately: true };
+        if self.consecutive_failed_repairs >= MAX_CONSECUTIVE_FAILED_REPAIRS {
+            self.consecutive_failed_repairs = 0;
             self.phase = Phase::begin_snapshot();
         }
     }
 
-    fn note_right_digest(&mut self) {
+    fn record_digest_match(&mut self) {
         self.is_in_sync = true;
-        self.failed_repairs = 0;
-        self.interruptions = 0;
+        self.consecutive_failed_repairs = 0;
+        self.consecutive_interruptions = 0;
     }
 
     /// Puts changes in force one by one.
@@ -295,24 +310,24 @@
         changes: Vec<HashedChange>,
         more: bool,
     ) -> Update {
-        changes.iter().for_each(|change| self.held.apply(change));
-        self.held.version = version;
-        self.is_verified = digest.is_some();
+        changes.iter().for_each(|change| self.active.apply(change));
+        self.active.version = version;
+        self.is_version_verified = digest.is_some();
         Update { version, digest, is_whole_state: false, changes: without_hashes(changes), has_more: more }
     }
 
     /// Puts a whole state in force: by its differences where they are few, else as it was staged.
-    fn take_whole_state(&mut self, state: WholeState) -> Update {
-        let WholeState { version, records, changes } = state;
-        self.note_right_digest();
-        self.phase = Phase::Following { hurry: false };
+    fn apply_whole_state(&mut self, state: VerifiedSnapshot) -> Update {
+        let VerifiedSnapshot { version, records, changes } = state;
+        self.record_digest_match();
+        self.phase = Phase::Following { poll_immediately: false };
         let digest = Some(records.digest());
         if changes.len() <= self.len() / 2 {
             return Update { is_whole_state: true, ..self.apply(version, digest, changes, false) };
         }
-        self.held.records = records.compacted();
-        self.held.version = version;
-        self.is_verified = true;
+        self.active.records = records.shrunk_to_fit();
+        self.active.version = version;
+        self.is_version_verified = true;
         Update { version, digest, is_whole_state: true, changes: without_hashes(changes), has_more: false }
     }
 }
--- a/crates/pondlb-control/src/rotation.rs
+++ b/crates/pondlb-control/src/rotation.rs
@@ -5,13 +5,13 @@
 use nanorand::{Rng, WyRand};
 
 /// The longest wait after a first failure; doubles with each whole round of failures.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
+const INITIAL_MAX_BACKOFF: Duration = Duration::from_millis(100);
 
 /// The longest wait of all.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// When a caller that is away from home returns.
-const RETURN_MS: std::ops::RangeInclusive<u64> = 30_000..=90_000;
+const FAILBACK_DELAY_MS: std::ops::RangeInclusive<u64> = 30_000..=90_000;
 
 /// A caller's way through the control servers: its home first, then the others in an order of its own. Callers of one
 /// home have even parts of the other servers second, and a random order behind that: where many servers are lost
@@ -23,7 +23,7 @@
     /// How many servers on from home it is.
     position: usize,
     /// How many calls have failed since the last that succeeded.
-    failures: usize,
+    consecutive_failures: usize,
     random: WyRand,
 }
 
@@ -31,8 +31,8 @@
     /// The way of the caller of this number, through so many servers. Callers with consecutive numbers spread evenly.
     pub fn new(servers: usize, number: u64, seed: u64) -> Rotation {
         let mut random = WyRand::new_seed(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let order = order(servers.max(1), number, &mut random);
-        Rotation { order, position: 0, failures: 0, random }
+        let order = server_order(servers.max(1), number, &mut random);
+        Rotation { order, position: 0, consecutive_failures: 0, random }
     }
 
     /// Which server to ask.
@@ -42,22 +42,22 @@
 
     /// Goes on to the next server after a failed call, and says how long to wait first.
     pub fn fail_over(&mut self) -> Duration {
-        let rounds = (self.failures / self.order.len()).min(16) as u32;
-        self.failures = self.failures.saturating_add(1);
+        let rounds = (self.consecutive_failures / self.order.len()).min(16) as u32;
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.position = (self.position + 1) % self.order.len();
-        let longest = (FIRST_WAIT * 2u32.pow(rounds)).min(LONGEST_WAIT).as_micros() as u64;
-        Duration::from_micros(self.random.generate_range(longest / 2..=longest))
+        let max_backoff_us = (INITIAL_MAX_BACKOFF * 2u32.pow(rounds)).min(MAX_BACKOFF).as_micros() as u64;
+        Duration::from_micros(self.random.generate_range(max_backoff_us / 2..=max_backoff_us))
     }
 
     /// Notes that the server has answered well.
     pub fn record_success(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
     /// When to return home, if another server is asked now.
     pub fn failback_delay(&mut self) -> Option<Duration> {
         let is_away = self.position != 0;
-        is_away.then(|| Duration::from_millis(self.random.generate_range(RETURN_MS)))
+        is_away.then(|| Duration::from_millis(self.random.generate_range(FAILBACK_DELAY_MS)))
     }
 
     /// Asks the home server again.
@@ -66,7 +66,7 @@
     }
 }
 
-fn order(servers: usize, number: u64, random: &mut WyRand) -> Vec<usize> {
+fn server_order(servers: usize, number: u64, random: &mut WyRand) -> Vec<usize> {
     let home = (number % servers as u64) as usize;
     let mut order: Vec<usize> = (0..servers).map(|step| (home + step) % servers).collect();
     if let [_, others @ ..] = order.as_mut_slice()
--- a/crates/pondlb-control/src/store.rs
+++ b/crates/pondlb-control/src/store.rs
@@ -6,9 +6,9 @@
 use serde_json::value::RawValue;
 
 use crate::change_log::ChangeLog;
-use crate::commit::{CommitError, Extent, checked_values, extent_after};
+use crate::commit::{CommitError, StoreSize, size_after, validated_values};
 use crate::digest::{BUCKET_COUNT, KeyHash, record_hash};
-use crate::json::escaped_len;
+use crate::json::escaped_bytes;
 use crate::record_hashes::RecordHashes;
 use crate::{
     BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, Limits, NewChange, RecordKind,
@@ -16,10 +16,10 @@
 };
 
 /// The most bytes of an answer's JSON beside its changes or records and the key of the next piece.
-const ANSWER_OVERHEAD: usize = 192;
+const RESPONSE_OVERHEAD_BYTES: usize = 192;
 
 /// The most bytes of a change's JSON beside its key and value.
-const CHANGE_OVERHEAD: usize = 60;
+const CHANGE_OVERHEAD_BYTES: usize = 60;
 
 /// All records at a control server: the origin numbers changes with it, a replica server keeps up with the origin.
 #[derive(Debug)]
@@ -29,11 +29,11 @@
     is_origin: bool,
     version: Version,
     /// Whether no piece of changes is missing up to the version.
-    is_complete: bool,
+    is_at_complete_version: bool,
     records: BTreeMap<Key, Record>,
-    bytes: usize,
-    hashes: RecordHashes,
-    log: ChangeLog,
+    total_bytes: usize,
+    record_hashes: RecordHashes,
+    change_log: ChangeLog,
 }
 
 #[derive(Debug)]
@@ -49,11 +49,11 @@
             limits,
             version: Version { epoch, revision: 0 },
             is_origin: epoch != 0,
-            is_complete: true,
+            is_at_complete_version: true,
             records: BTreeMap::new(),
-            bytes: 0,
-            hashes: RecordHashes::new(),
-            log: ChangeLog::new(limits.max_tombstones),
+            total_bytes: 0,
+            record_hashes: RecordHashes::new(),
+            change_log: ChangeLog::new(limits.max_tombstones),
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// The digest of all records.
     pub fn digest(&self) -> Digest {
-        self.hashes.digest()
+        self.record_hashes.digest()
     }
 
     /// How many records there are.
@@ -85,7 +85,7 @@
 
     /// Bytes of all keys and values.
     pub fn total_bytes(&self) -> usize {
-        self.bytes
+        self.total_bytes
     }
 
     /// Numbers and takes changes, all or none. The texts of values are freed of white space; from then on they travel
@@ -96,17 +96,17 @@
     pub fn commit(
         &mut self,
         changes: &[NewChange],
-        check: &RecordValidator<'_>,
+        validate: &RecordValidator<'_>,
     ) -> Result<Version, CommitError> {
         if !self.is_origin {
             return Err(CommitError::NotOrigin);
         }
-        let values = checked_values(changes, &self.limits, check)?;
-        let extent = Extent { records: self.len(), bytes: self.bytes };
-        extent_after(extent, changes, &values, |key| self.value_len(key)).keep(&self.limits)?;
+        let values = validated_values(changes, &self.limits, validate)?;
+        let extent = StoreSize { records: self.len(), bytes: self.total_bytes };
+        size_after(extent, changes, &values, |key| self.value_bytes(key)).verify_within(&self.limits)?;
         for (change, value) in changes.iter().zip(values) {
             self.version.revision += 1;
-            self.put(&change.key, value, self.version.revision);
+            self.put_record(&change.key, value, self.version.revision);
         }
         Ok(self.version)
     }
@@ -119,17 +119,17 @@
         }
         self.version = update.version;
         for Change { revision, key, value } in &update.changes {
-            self.put(key, value.clone(), (*revision).min(update.version.revision));
+            self.put_record(key, value.clone(), (*revision).min(update.version.revision));
         }
         if update.is_whole_state {
-            self.forget_changes();
+            self.reset_change_log();
         }
-        self.is_complete = update.digest.is_some();
+        self.is_at_complete_version = update.digest.is_some();
     }
 
     /// What is newer than a caller's version, in at most so many bytes (but one change at least).
     pub fn changes_since(&self, from: Version, most_bytes: usize) -> ChangesResponse {
-        let mut answer = ChangesResponse {
+        let mut response = ChangesResponse {
             version: self.version,
             from_revision: from.revision,
             reset: false,
@@ -138,35 +138,36 @@
             stale_ms: 0,
             changes: Vec::new(),
         };
-        let is_known = from.epoch == self.version.epoch && self.log.is_complete_from(from.revision);
-        answer.reset = from < self.version && !is_known;
+        let is_known = from.epoch == self.version.epoch && self.change_log.is_complete_since(from.revision);
+        response.reset = from < self.version && !is_known;
         if is_known && from < self.version {
-            self.fill_changes(&mut answer, most_bytes);
+            self.fill_changes(&mut response, most_bytes);
         }
-        answer.digest = Some(self.digest()).filter(|_| self.is_complete && !answer.has_more && !answer.reset);
-        answer
+        response.digest = Some(self.digest())
+            .filter(|_| self.is_at_complete_version && !response.has_more && !response.reset);
+        response
     }
 
     /// The records behind a key, or the first ones, in at most so many bytes (but one record at least).
     pub fn snapshot_page(&self, after: Option<&Key>, most_bytes: usize) -> SnapshotResponse {
-        let mut answer = SnapshotResponse { version: self.version, records: Vec::new(), next_after: None };
-        let mut bytes = ANSWER_OVERHEAD;
+        let mut response = SnapshotResponse { version: self.version, records: Vec::new(), next_after: None };
+        let mut bytes = RESPONSE_OVERHEAD_BYTES;
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         for (key, record) in self.records.range::<Key, _>((start, Bound::Unbounded)) {
-            let key_bytes = escaped_len(key.as_str());
-            bytes += encoded_len(key, Some(&record.value));
-            if bytes + key_bytes > most_bytes && !answer.records.is_empty() {
-                answer.next_after = answer.records.last().map(|last| last.key.clone());
+            let key_bytes = escaped_bytes(key.as_str());
+            bytes += encoded_change_bytes(key, Some(&record.value));
+            if bytes + key_bytes > most_bytes && !response.records.is_empty() {
+                response.next_after = response.records.last().map(|last| last.key.clone());
                 break;
             }
-            answer.records.push(record.as_change(key));
+            response.records.push(record.as_change(key));
         }
-        answer
+        response
     }
 
     /// The digests of all buckets.
     pub fn bucket_digests(&self) -> DigestsResponse {
-        DigestsResponse { version: self.version, buckets: self.hashes.bucket_digests().collect() }
+        DigestsResponse { version: self.version, buckets: self.record_hashes.bucket_digests().collect() }
     }
 
     /// Whether there is a bucket of this number.
@@ -176,49 +177,49 @@
 
     /// All records of one bucket; none where there is no such bucket.
     pub fn bucket_records(&self, bucket: usize) -> Option<BucketResponse> {
-        let keys = self.hashes.bucket_keys(bucket)?.into_iter();
+        let keys = self.record_hashes.bucket_keys(bucket)?.into_iter();
         let records = keys.filter_map(|key| self.records.get(key).map(|record| record.as_change(key)));
         Some(BucketResponse { version: self.version, bucket, records: records.collect() })
     }
 
-    fn fill_changes(&self, answer: &mut ChangesResponse, most_bytes: usize) {
-        let mut bytes = ANSWER_OVERHEAD;
-        for (revision, key) in self.log.since(answer.from_revision) {
+    fn fill_changes(&self, response: &mut ChangesResponse, most_bytes: usize) {
+        let mut bytes = RESPONSE_OVERHEAD_BYTES;
+        for (revision, key) in self.change_log.changes_since(response.from_revision) {
             let value = self.records.get(key).map(|record| &record.value);
-            bytes += encoded_len(key, value.map(Box::as_ref));
-            if let Some(last) = answer.changes.last().filter(|_| bytes > most_bytes) {
-                answer.version.revision = last.revision;
-                answer.has_more = true;
+            bytes += encoded_change_bytes(key, value.map(Box::as_ref));
+            if let Some(last) = response.changes.last().filter(|_| bytes > most_bytes) {
+                response.version.revision = last.revision;
+                response.has_more = true;
                 return;
             }
-            answer.changes.push(Change { revision, key: key.clone(), value: value.cloned() });
+            response.changes.push(Change { revision, key: key.clone(), value: value.cloned() });
         }
     }
 
-    fn value_len(&self, key: &Key) -> Option<usize> {
+    fn value_bytes(&self, key: &Key) -> Option<usize> {
         self.records.get(key).map(|record| record.value.get().len())
     }
 
-    fn put(&mut self, key: &Key, value: Option<Box<RawValue>>, revision: u64) {
+    fn put_record(&mut self, key: &Key, value: Option<Box<RawValue>>, revision: u64) {
         let key_bytes = key.as_str().len();
         let Some(value) = value else {
             let removed = self.records.remove(key);
-            self.bytes -= removed.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
-            self.hashes.remove(key, KeyHash::of(key));
-            self.log.remove(key, revision, removed.map(|record| record.revision));
+            self.total_bytes -= removed.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
+            self.record_hashes.remove(key, KeyHash::of(key));
+            self.change_log.record_removal(key, revision, removed.map(|record| record.revision));
             return;
         };
-        self.hashes.set(key, KeyHash::of(key), record_hash(key, value.get()), Key::clone);
-        self.bytes += key_bytes + value.get().len();
+        self.record_hashes.set(key, KeyHash::of(key), record_hash(key, value.get()), Key::clone);
+        self.total_bytes += key_bytes + value.get().len();
         let before = self.records.insert(key.clone(), Record { revision, value });
-        self.bytes -= before.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
-        self.log.set(key, revision, before.map(|record| record.revision));
+        self.total_bytes -= before.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
+        self.change_log.record_set(key, revision, before.map(|record| record.revision));
     }
 
     /// After a whole new state: which change removed a record is unknown, and revisions of an older epoch say nothing.
-    fn forget_changes(&mut self) {
+    fn reset_change_log(&mut self) {
         let newest = self.version.revision;
-        self.log.clear(newest);
+        self.change_log.clear(newest);
         for record in self.records.values_mut() {
             record.revision = record.revision.min(newest);
         }
@@ -231,6 +232,6 @@
     }
 }
 
-fn encoded_len(key: &Key, value: Option<&RawValue>) -> usize {
-    CHANGE_OVERHEAD + escaped_len(key.as_str()) + value.map_or(0, |value| value.get().len())
+fn encoded_change_bytes(key: &Key, value: Option<&RawValue>) -> usize {
+    CHANGE_OVERHEAD_BYTES + escaped_bytes(key.as_str()) + value.map_or(0, |value| value.get().len())
 }
--- a/crates/pondlb-control/src/update.rs
+++ b/crates/pondlb-control/src/update.rs
@@ -25,9 +25,9 @@
 impl Update {
     /// The same update in slices of `most` changes, for consumers that apply a few at a time. The version holds, and
     /// the digest is told, with the last one.
-    pub fn into_batches(self, most: usize) -> impl Iterator<Item = Update> {
+    pub fn into_batches(self, max_changes: usize) -> impl Iterator<Item = Update> {
         let Update { version, digest, is_whole_state: whole, changes, has_more: more } = self;
-        let most = most.max(1);
+        let most = max_changes.max(1);
         let slices = changes.len().div_ceil(most).max(1);
         let mut changes = changes.into_iter();
         (1..=slices).map(move |number| {
