--- a/crates/pondlb-control/src/commit.rs
+++ b/crates/pondlb-control/src/commit.rs
@@ -1,4 +1,4 @@
-//! Checks of a commit before anything of it is taken.
+//! Validation of a commit, which is accepted or rejected as a whole.
 
 use std::collections::HashMap;
 
@@ -7,64 +7,65 @@
 use crate::json::{NULL, value_without_whitespace};
 use crate::{Key, Limits, NewChange, RecordValidator};
 
-/// Why nothing of a commit is taken.
+/// Why a commit is rejected. None of its changes is applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
-    /// The store numbers no changes: it has no epoch of its own.
+    /// The store belongs to a replica server, which has no epoch of its own and so does not number changes.
     #[error("this server has no epoch of its own to number changes in")]
     NotOrigin,
-    /// There would be more records than the store takes.
+    /// The store would exceed [`Limits::max_records`].
     #[error("{records} records are more than {max}")]
     TooManyRecords {
-        /// How many there would be.
+        /// The number of records after the commit.
         records: usize,
-        /// How many the store takes.
+        /// The maximum number of records.
         max: usize,
     },
-    /// A value is longer than the store takes.
+    /// A value exceeds [`Limits::max_value_bytes`].
     #[error("{key}: {bytes} bytes of value are more than {max}")]
     ValueTooLong {
-        /// Whose value.
+        /// The key of the record.
         key: Key,
-        /// Its length.
+        /// The length of the value in bytes, without whitespace.
         bytes: usize,
-        /// How long it may be.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// There would be more bytes of keys and values than the store takes.
+    /// The store would exceed [`Limits::max_total_bytes`].
     #[error("{bytes} bytes of keys and values are more than {max}")]
     TooManyBytes {
-        /// How many there would be.
+        /// Bytes of keys and values after the commit.
         bytes: usize,
-        /// How many the store takes.
+        /// The maximum number of bytes.
         max: usize,
     },
-    /// A value is JSON's null, which stands for a removed record.
+    /// A value is the JSON `null`, which on the wire denotes a removed record.
     #[error("{0}: a value can't be null")]
     NullValue(Key),
-    /// A value is no JSON text.
+    /// A value is not valid JSON.
     #[error("{0}: the value is no JSON")]
     InvalidJson(Key),
-    /// The checker does not allow a change.
+    /// The validator rejects a change.
     #[error("{key}: {reason}")]
     InvalidRecord {
-        /// Which record.
+        /// The key of the record.
         key: Key,
-        /// What the checker said.
+        /// The validator's reason.
         reason: String,
     },
 }
 
-/// How much a store holds.
+/// The size of a store's records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StoreSize {
-    /// Number of records.
+    /// The number of records.
     pub(crate) records: usize,
-    /// Bytes of keys and values.
+    /// The bytes of all keys and values.
     pub(crate) bytes: usize,
 }
 
-/// The values of a commit with their texts normalised, each within the limits and allowed by the checker.
+/// The values of a commit without whitespace, each within the limits and accepted by the validator. `None` stands for a
+/// removal.
 pub(crate) fn validated_values(
     changes: &[NewChange],
     limits: &Limits,
@@ -78,8 +79,8 @@
     limits: &Limits,
     validate: &RecordValidator<'_>,
 ) -> Result<Option<Box<RawValue>>, CommitError> {
-    let compacted = value.as_deref().map(value_without_whitespace).transpose();
-    let value = compacted.map_err(|_| CommitError::InvalidJson(key.clone()))?;
+    let normalized = value.as_deref().map(value_without_whitespace).transpose();
+    let value = normalized.map_err(|_| CommitError::InvalidJson(key.clone()))?;
     let text = value.as_deref().map(RawValue::get);
     if text == Some(NULL) {
         return Err(CommitError::NullValue(key.clone()));
@@ -92,7 +93,8 @@
     Ok(value)
 }
 
-/// How much a store holds after these changes, if it holds `extent` before; `held` tells the length of a value held.
+/// The size of a store after these changes, given its `size` before them. `active_value_bytes` returns the length of
+/// the value that the store has for a key.
 pub(crate) fn size_after(
     mut size: StoreSize,
     changes: &[NewChange],
@@ -116,7 +118,7 @@
 }
 
 impl StoreSize {
-    /// Whether the limits allow so much.
+    /// Checks the size against the limits.
     pub(crate) fn verify_within(&self, limits: &Limits) -> Result<(), CommitError> {
         if self.records > limits.max_records {
             return Err(CommitError::TooManyRecords { records: self.records, max: limits.max_records });
--- a/crates/pondlb-control/src/digest.rs
+++ b/crates/pondlb-control/src/digest.rs
@@ -1,4 +1,4 @@
-//! Hashes of records, and the buckets over which they are summed up.
+//! Hashes of keys and records, and the buckets whose record hashes are summed into digests.
 
 use std::hash::Hasher;
 
@@ -6,18 +6,18 @@
 
 use crate::Key;
 
-/// Over how many buckets the records are spread by their keys.
+/// The number of buckets among which the records are divided by the hashes of their keys.
 pub const BUCKET_COUNT: usize = 512;
 
-/// Stands between key and value in what is hashed; occurs in neither.
+/// Separates key and value in the hash input; occurs in neither.
 const SEPARATOR: u8 = 0;
 
-/// The hash of a key, which tells its bucket and its place there.
+/// The hash of a key, which determines the bucket of its record and the position in the bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct KeyHash(u64);
 
 impl KeyHash {
-    /// The hash of this key.
+    /// Hashes a key.
     pub(crate) fn of(key: &Key) -> KeyHash {
         KeyHash(xxh3_64(key.as_str().as_bytes()))
     }
@@ -27,14 +27,14 @@
         self.0 as usize % BUCKET_COUNT
     }
 
-    /// Tells most keys of one bucket from each other: the half of the hash that does not choose the bucket.
+    /// The upper half of the hash, which does not select the bucket. It differs between most keys of a bucket.
     pub(crate) fn fingerprint(self) -> u32 {
         (self.0 >> 32) as u32
     }
 }
 
-/// Hashes keys for tables of them. Unlike the default of hash tables it does not defend itself against keys that were
-/// chosen to collide: whoever can choose them commits records anyway.
+/// The hasher for hash tables of keys. Unlike the standard library's default it does not resist keys that are chosen to
+/// collide: whoever can choose keys is allowed to commit records anyway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyHasher(u64);
 
@@ -43,7 +43,7 @@
         self.0 = xxh3_64_with_seed(bytes, self.0);
     }
 
-    /// The mark at the end of a text, which keys that are hashed by themselves don't need.
+    /// Ignores the byte that `str` writes at its end, which separates fields; a key is hashed alone.
     fn write_u8(&mut self, _: u8) {}
 
     fn finish(&self) -> u64 {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The hash of a record's key and value.
+/// The hash of a record: XXH3 of its key, [`SEPARATOR`] and its value.
 pub(crate) fn record_hash(key: &Key, value: &str) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(key.as_str().as_bytes());
--- a/crates/pondlb-control/src/key.rs
+++ b/crates/pondlb-control/src/key.rs
@@ -1,4 +1,4 @@
-//! Names of records.
+//! The keys of records.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -9,19 +9,19 @@
 
 use crate::percent_encoding;
 
-/// The longest name of a record, in bytes.
+/// The maximum length of a record's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// What a record describes.
+/// The kind of object that a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKind {
-    /// One upstream, in discovery's form of an entry.
+    /// An upstream, in the format of an entry in discovery's list.
     Upstream,
-    /// One class of requests, in the form of an entry of `Schemes` in the settings.
+    /// A class of requests, in the format of an entry of `Schemes` in the settings.
     Class,
-    /// One tenant, in the form of an entry of `Realms` in the settings.
+    /// A tenant, in the format of an entry of `Realms` in the settings.
     Tenant,
-    /// One scalar of the settings; its name is the path of the key, as in `Limits.MaxPostings`.
+    /// A scalar of the settings, named by its path there, such as `Limits.MaxPostings`.
     Limit,
 }
 
@@ -29,6 +29,7 @@
     const ALL: [RecordKind; 4] =
         [RecordKind::Upstream, RecordKind::Class, RecordKind::Tenant, RecordKind::Limit];
 
+    /// The start of all keys of this kind.
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             RecordKind::Upstream => "upstream/",
@@ -39,78 +40,80 @@
     }
 }
 
-/// The name of a record, with its kind in front: `upstream/s-5be2a07c`. Keys are ordered as their text is.
+/// The key of a record: the prefix of its kind and its name, such as `upstream/s-5be2a07c`. Keys are ordered by their
+/// text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(Rc<str>);
 
-/// Why a text is no key.
+/// Why a text is not a valid key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The text does not begin with a known kind.
+    /// The text does not start with the prefix of a known kind.
     #[error("{0:?} begins with no known kind")]
     UnknownKind(String),
-    /// The name is empty, too long, or holds other than printable ASCII.
+    /// The name is empty, too long, or contains characters other than printable ASCII without spaces.
     #[error("{0:?} holds no name of 1 to {MAX_NAME_BYTES} printable ASCII characters")]
     InvalidName(String),
 }
 
 impl Key {
-    /// The key of a record of this kind and name.
+    /// Creates the key of a record from its kind and name.
     ///
     /// # Errors
-    /// [`KeyError::InvalidName`] where the name is empty, longer than [`MAX_NAME_BYTES`] or not printable ASCII.
+    /// [`KeyError::InvalidName`] if the name is empty, longer than [`MAX_NAME_BYTES`] or not printable ASCII.
     pub fn new(kind: RecordKind, name: &str) -> Result<Key, KeyError> {
         verify_name(name)?;
         Ok(Key(format!("{}{name}", kind.prefix()).into()))
     }
 
-    /// Reads a key from its text.
+    /// Parses the text of a key.
     ///
     /// # Errors
-    /// [`KeyError`] where it begins with no known kind, or what follows is no name.
+    /// [`KeyError`] if the text does not start with the prefix of a known kind, or no valid name follows.
     pub fn parse(text: &str) -> Result<Key, KeyError> {
         let name = RecordKind::ALL.into_iter().find_map(|kind| text.strip_prefix(kind.prefix()));
         verify_name(name.ok_or_else(|| KeyError::UnknownKind(text.to_string()))?)?;
         Ok(Key(text.into()))
     }
 
-    /// Reads a key from a parameter of a request's target, where it may be percent-encoded.
+    /// Parses a key from a query parameter of a request target, where it may be percent-encoded.
     ///
     /// # Errors
-    /// [`KeyError`] as from [`Key::parse`], also where the encoding is wrong.
+    /// [`KeyError`] as from [`Key::parse`]; [`KeyError::InvalidName`] if the percent-encoding is malformed.
     pub fn parse_percent_encoded(encoded: &str) -> Result<Key, KeyError> {
         let text =
             percent_encoding::decode(encoded).ok_or_else(|| KeyError::InvalidName(encoded.to_string()))?;
         Key::parse(&text)
     }
 
-    /// What the record describes.
+    /// The kind of the record.
     pub fn kind(&self) -> RecordKind {
-        let is_meant = |kind: &RecordKind| self.0.starts_with(kind.prefix());
-        RecordKind::ALL.into_iter().find(is_meant).unwrap_or(RecordKind::Limit)
+        let has_prefix = |kind: &RecordKind| self.0.starts_with(kind.prefix());
+        RecordKind::ALL.into_iter().find(has_prefix).unwrap_or(RecordKind::Limit)
     }
 
-    /// The name without its kind.
+    /// The name of the record, without the prefix of its kind.
     pub fn name(&self) -> &str {
         self.0.split_once('/').map_or("", |(_, name)| name)
     }
 
-    /// The whole text, as on the wire.
+    /// The text of the key, including the prefix, as on the wire.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The same key in an allocation that is shared with others.
+    /// The text of the key, in the allocation that this key uses.
     pub fn to_rc_str(&self) -> Rc<str> {
         self.0.clone()
     }
 
-    /// Whether the allocation has other holders than this one.
+    /// Whether other keys use the same allocation.
     pub(crate) fn is_shared(&self) -> bool {
         Rc::strong_count(&self.0) > 1
     }
 }
 
+/// Checks the length and the characters of a name.
 fn verify_name(name: &str) -> Result<(), KeyError> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(KeyError::InvalidName(name.to_string()));
@@ -125,37 +128,37 @@
 }
 
 impl fmt::Debug for Key {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
 impl fmt::Display for Key {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
 impl Serialize for Key {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(&self.0)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&self.0)
     }
 }
 
 impl<'de> Deserialize<'de> for Key {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Key, D::Error> {
-        from.deserialize_str(KeyVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Key, D::Error> {
+        deserializer.deserialize_str(KeyVisitor)
     }
 }
 
-/// Reads a key from the text where it stands, without a copy beside the key's own.
+/// Deserializes a key from a borrowed text, which avoids an intermediate `String`.
 struct KeyVisitor;
 
 impl Visitor<'_> for KeyVisitor {
     type Value = Key;
 
-    fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str("a key")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("a key")
     }
 
     fn visit_str<E: de::Error>(self, text: &str) -> Result<Key, E> {
--- a/crates/pondlb-control/src/lib.rs
+++ b/crates/pondlb-control/src/lib.rs
@@ -1,7 +1,9 @@
 //! Incremental distribution of upstream lists and configuration from control servers to balancers.
 //!
-//! The state is a set of records. A control server holds them in a store that numbers every change; a balancer holds
-//! a replica that asks for the changes since its version and compares digests. Nothing here does I/O or reads a clock.
+//! The distributed state is a set of records. A control server keeps them in a [`Store`] that numbers every change.
+//! A balancer keeps a [`Replica`], which requests the changes since its version and compares digests with the server.
+//! This crate does no I/O and reads no clock: the caller sends the requests, passes in the responses and waits.
+//!
 //! docs/control.md describes the protocol.
 
 mod active_state;
--- a/crates/pondlb-control/src/limits.rs
+++ b/crates/pondlb-control/src/limits.rs
@@ -1,16 +1,17 @@
-//! What a store or replica takes at most.
+//! Size limits of stores and replicas.
 
-/// Bounds on the records of a store or replica.
+/// Upper bounds on the records of a store or replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The most records.
+    /// The maximum number of records.
     pub max_records: usize,
-    /// The longest value, in bytes.
+    /// The maximum length of a value, in bytes.
     pub max_value_bytes: usize,
-    /// The most bytes of all keys and values. A replica, which holds no values, bounds by it what a
-    /// staged snapshot holds of them.
+    /// The maximum total size of keys and values, in bytes. A replica, which does not keep values, applies it to the
+    /// changed records that a staged snapshot contains.
     pub max_total_bytes: usize,
-    /// How many removed records a store remembers; a caller that needs an older one takes a snapshot.
+    /// The maximum number of removed records that a store lists in its change log. A follower that needs the removal of
+    /// an older one has to read a snapshot.
     pub max_tombstones: usize,
 }
 
@@ -26,10 +27,10 @@
 }
 
 impl Limits {
-    /// The bounds that hold while more changes follow, or at the end. Until then records may be held that are removed
-    /// further on, beside those that came after them.
-    pub(crate) fn for_page(&self, more: bool) -> Limits {
-        if !more {
+    /// The limits after applying one page. While more pages follow, the record count and the total size may be twice as
+    /// large: records that a later page removes are still present next to those that were added after them.
+    pub(crate) fn for_page(&self, has_more: bool) -> Limits {
+        if !has_more {
             return *self;
         }
         let records = self.max_records.saturating_mul(2);
--- a/crates/pondlb-control/src/pending_response.rs
+++ b/crates/pondlb-control/src/pending_response.rs
@@ -1,18 +1,20 @@
-//! Answers on their way into a replica, whose records are hashed and checked a slice at a time.
+//! Received responses whose records are hashed and validated in batches before the replica processes them.
 
 use crate::active_state::{ActiveState, HashedChange};
 use crate::{Change, RecordValidator, Rejection, ReplicaResponse};
 
-/// An answer whose records are being hashed and checked: see [`Replica::validate_batch`](crate::Replica::validate_batch).
+/// A response whose records are being hashed and validated by
+/// [`Replica::validate_batch`](crate::Replica::validate_batch).
 #[derive(Debug)]
 pub struct PendingResponse {
-    /// Without its records.
+    /// The response without its records.
     pub(crate) response: ReplicaResponse,
+    /// The records that are not validated yet.
     remaining: std::vec::IntoIter<Change>,
     validated: ValidatedRecords,
 }
 
-/// The hashed records of an answer, and the first one that may not be taken.
+/// The hashed records of a response, and the reason why the first invalid one is rejected.
 #[derive(Debug)]
 pub(crate) struct ValidatedRecords {
     pub(crate) records: Vec<HashedChange>,
@@ -20,7 +22,7 @@
 }
 
 impl PendingResponse {
-    /// An answer of which nothing is checked yet.
+    /// Wraps a response of which no record is validated yet.
     pub fn new(mut response: ReplicaResponse) -> PendingResponse {
         let records = match &mut response {
             ReplicaResponse::Changes(response) => std::mem::take(&mut response.changes),
@@ -32,12 +34,12 @@
         PendingResponse { response, remaining: records.into_iter(), validated: checked }
     }
 
-    /// Whether all records are hashed and checked.
+    /// Whether all records are hashed and validated.
     pub fn is_validated(&self) -> bool {
         self.remaining.as_slice().is_empty()
     }
 
-    /// Hashes and checks the next records, at most so many.
+    /// Hashes and validates at most `max_records` of the remaining records.
     pub(crate) fn validate_batch(
         &mut self,
         active: &ActiveState,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The answer and its records, all of them checked.
+    /// Validates the remaining records and returns the response and all of its records.
     pub(crate) fn into_validated(
         mut self,
         active: &ActiveState,
@@ -61,6 +63,7 @@
 }
 
 impl ValidatedRecords {
+    /// Appends a record. After a rejection the following records are no longer validated.
     fn push(&mut self, record: HashedChange, active: &ActiveState, validate: &RecordValidator<'_>) {
         if self.rejection.is_none() {
             self.rejection = active.validate_value(&record, validate).err();
@@ -68,10 +71,10 @@
         self.records.push(record);
     }
 
-    /// All of the records.
+    /// Returns all records.
     ///
     /// # Errors
-    /// [`Rejection`] where one of them may not be taken.
+    /// [`Rejection`] of the first record that is not valid.
     pub(crate) fn into_accepted(self) -> Result<Vec<HashedChange>, Rejection> {
         self.rejection.map_or(Ok(self.records), Err)
     }
--- a/crates/pondlb-control/src/percent_encoding.rs
+++ b/crates/pondlb-control/src/percent_encoding.rs
@@ -1,8 +1,8 @@
-//! Percent-encoding of keys in the targets of requests.
+//! Percent-encoding of keys and names in request targets.
 
 use std::fmt::Write;
 
-/// The text with all characters encoded that could end or change a parameter of a query.
+/// Encodes all characters that could end or alter a query parameter.
 pub(crate) fn encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for character in text.chars() {
@@ -11,7 +11,7 @@
         } else {
             let mut bytes = [0; 4];
             for byte in character.encode_utf8(&mut bytes).bytes() {
-                // Writing to a string does not fail.
+                // Writing to a `String` cannot fail.
                 let _ = write!(encoded, "%{byte:02X}");
             }
         }
@@ -19,8 +19,8 @@
     encoded
 }
 
-/// The text that was encoded; none where a percent sign is not followed by two hexadecimal digits, or the bytes are
-/// no text.
+/// Decodes percent-encoded text. Returns `None` if a percent sign is not followed by two hexadecimal digits, or the
+/// decoded bytes are not valid UTF-8.
 pub(crate) fn decode(encoded: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(encoded.len());
     let mut rest = encoded.bytes();
--- a/crates/pondlb-control/src/rejection.rs
+++ b/crates/pondlb-control/src/rejection.rs
@@ -1,128 +1,128 @@
-//! Why nothing of an answer is taken.
+//! The reasons why a replica rejects a response.
 
-use crate::{Digest, Key, Version};
+use crate::{BUCKET_COUNT, Digest, Key, Version};
 
-/// Why a replica takes nothing of an answer. What it held stays in force.
+/// Why a replica rejects a response. Nothing of the response is applied; the previous state stays active.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// The answer is not of the kind that was asked for.
-    #[error("the answer does not belong to the call that was made")]
+    /// The response does not answer the replica's current request.
+    #[error("the response does not match the request")]
     UnexpectedResponse,
-    /// The server itself holds no state yet.
-    #[error("the server holds no state yet")]
+    /// The server itself has no state yet.
+    #[error("the server has no state yet")]
     ServerWithoutState,
-    /// The server is at an older epoch.
-    #[error("version {received} is of an older epoch than {active}")]
+    /// The server's version has an older epoch than the replica's.
+    #[error("received version {received} has an older epoch than {active}")]
     OlderEpoch {
         /// The server's version.
         received: Version,
-        /// The caller's version.
+        /// The replica's active or staged version.
         active: Version,
     },
-    /// The server is at an older revision of the same epoch.
-    #[error("version {received} is older than {active}")]
+    /// The server's version has an older revision of the same epoch.
+    #[error("received version {received} is older than {active}")]
     OlderRevision {
         /// The server's version.
         received: Version,
-        /// The caller's version.
+        /// The replica's active or staged version.
         active: Version,
     },
-    /// The changes follow on another revision than the caller's.
-    #[error("changes since {received}, asked for those since {requested}")]
+    /// The changes start after another revision than the requested one.
+    #[error("received changes since revision {received}, requested those since {requested}")]
     WrongBaseRevision {
-        /// What the changes follow on.
+        /// The revision after which the received changes start.
         received: u64,
-        /// What was asked for.
+        /// The revision of the request.
         requested: u64,
     },
-    /// A revision does not ascend, or lies outside of what the answer covers.
+    /// A revision is not greater than the previous one, or is outside the range that the response covers.
     #[error("{key}: revision {revision} is out of order or out of range")]
     InvalidRevision {
-        /// Which record.
+        /// The key of the record.
         key: Key,
-        /// Its revision.
+        /// The revision of the change.
         revision: u64,
     },
-    /// Two changes of one record.
-    #[error("{0}: changed twice in one answer")]
+    /// The response contains two changes of the same record.
+    #[error("{0}: changed twice in one response")]
     DuplicateKey(Key),
-    /// More changes are promised, and this answer brings none.
-    #[error("a piece without changes")]
+    /// The response announces more changes but contains none.
+    #[error("a page that is not the last contains no changes")]
     EmptyPage,
-    /// A record's key is not above the one before.
-    #[error("{0}: not in ascending order")]
+    /// The key of a record is not greater than the previous one.
+    #[error("{0}: the keys are not in ascending order")]
     KeyOutOfOrder(Key),
-    /// The key to go on from is not that of the last record.
-    #[error("{0}: not the last record of the piece")]
+    /// The key after which the next page starts is not that of the page's last record.
+    #[error("{0}: the next page does not start after the last record of this page")]
     WrongNextKey(Key),
-    /// A record has no value where it must have one.
-    #[error("{0}: no value")]
+    /// A record of a snapshot or bucket has no value, or a value is the JSON `null`.
+    #[error("{0}: the value is missing")]
     MissingValue(Key),
-    /// A value is longer than is taken.
-    #[error("{key}: {bytes} bytes of value are more than {max}")]
+    /// A value exceeds [`Limits::max_value_bytes`](crate::Limits::max_value_bytes).
+    #[error("{key}: a value of {bytes} bytes exceeds the limit of {max}")]
     ValueTooLong {
-        /// Whose value.
+        /// The key of the record.
         key: Key,
-        /// Its length.
+        /// The length of the value in bytes.
         bytes: usize,
-        /// How long it may be.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// The checker does not allow a value.
+    /// The validator rejects a value or a removal.
     #[error("{key}: {reason}")]
     InvalidRecord {
-        /// Which record.
+        /// The key of the record.
         key: Key,
-        /// What the checker said.
+        /// The validator's reason.
         reason: String,
     },
-    /// There would be more records than are taken.
-    #[error("{records} records are more than {max}")]
+    /// The state would exceed [`Limits::max_records`](crate::Limits::max_records).
+    #[error("{records} records exceed the limit of {max}")]
     TooManyRecords {
-        /// How many there would be.
+        /// The number of records after the response.
         records: usize,
-        /// How many are taken.
+        /// The maximum number of records.
         max: usize,
     },
-    /// A snapshot has more bytes of keys and values than are taken.
-    #[error("{bytes} bytes of keys and values are more than {max}")]
+    /// A staged snapshot would exceed [`Limits::max_total_bytes`](crate::Limits::max_total_bytes).
+    #[error("{bytes} bytes of keys and values exceed the limit of {max}")]
     TooManyBytes {
-        /// How many there would be.
+        /// Bytes of keys and values after the response.
         bytes: usize,
-        /// How many are taken.
+        /// The maximum number of bytes.
         max: usize,
     },
-    /// The number of bucket digests is wrong.
-    #[error("digests of {0} buckets")]
+    /// The number of bucket digests differs from [`BUCKET_COUNT`].
+    #[error("received the digests of {0} buckets instead of {BUCKET_COUNT}")]
     WrongBucketCount(usize),
-    /// Records of another bucket than was asked for.
-    #[error("bucket {received}, asked for {requested}")]
+    /// The records are those of another bucket than the requested one.
+    #[error("received bucket {received}, requested {requested}")]
     WrongBucket {
-        /// Which bucket came.
+        /// The number of the received bucket.
         received: usize,
-        /// Which one was asked for.
+        /// The number of the requested bucket.
         requested: usize,
     },
-    /// A record does not belong to the bucket that it came with.
-    #[error("{key}: not of bucket {bucket}")]
+    /// A record does not belong to the bucket in which it was received.
+    #[error("{key}: the record does not belong to bucket {bucket}")]
     RecordInWrongBucket {
-        /// Which record.
+        /// The key of the record.
         key: Key,
-        /// Which bucket it came with.
+        /// The number of the received bucket.
         bucket: usize,
     },
-    /// What came does not have the digest that the server told.
-    #[error("digest {computed} of what came, {expected} was told")]
+    /// The received records do not have the digest that the server sent.
+    #[error("the received records have digest {computed} instead of {expected}")]
     DigestMismatch {
-        /// What the server told.
+        /// The digest that the server sent.
         expected: Digest,
-        /// What the records have.
+        /// The digest of the received records.
         computed: Digest,
     },
-    /// Repairs kept failing; the next call begins a snapshot.
-    #[error("{0} repairs failed")]
+    /// This number of consecutive repairs failed; the next request starts a snapshot.
+    #[error("{0} consecutive repairs failed")]
     RepairsFailed(u32),
-    /// Snapshots kept being interrupted by newer epochs or resets.
-    #[error("{0} snapshots were interrupted")]
+    /// This number of consecutive snapshots was interrupted by newer epochs or resets.
+    #[error("{0} consecutive snapshots were interrupted")]
     SnapshotsInterrupted(u32),
 }
--- a/crates/pondlb-control/src/repair.rs
+++ b/crates/pondlb-control/src/repair.rs
@@ -1,4 +1,4 @@
-//! The repair of a wrong digest: only the buckets that differ are read.
+//! The repair of a replica whose digest differs from the server's: only the buckets that differ are read.
 
 use std::collections::BTreeSet;
 
@@ -8,47 +8,56 @@
     BucketResponse, Digest, DigestsResponse, Key, RecordValidator, Rejection, ReplicaRequest, Version,
 };
 
-/// A repair on its way. The changes of the answer whose digest was wrong are part of it: they are put in force with
-/// it or not at all.
+/// A repair in progress.
+///
+/// It includes the changes of the response whose digest did not match: they are applied together with the repair or not
+/// at all.
 #[derive(Debug)]
 pub(crate) struct Repair {
-    version: Version,
-    digest: Digest,
+    /// The server's version that the repair leads to.
+    target_version: Version,
+    /// The server's digest of all records at that version.
+    target_digest: Digest,
+    /// The changes of the response whose digest did not match.
     changes: Vec<HashedChange>,
+    /// The server's digests of all buckets; empty until they are received.
     expected_bucket_digests: Vec<Digest>,
-    /// The buckets to read, the next one last.
+    /// The differing buckets that are still to be read; the last one is read next.
     unread_buckets: Vec<usize>,
+    /// The buckets that have been read.
     read_buckets: BTreeSet<usize>,
-    /// What the buckets read differ in from what is in force.
+    /// The differences between the buckets that have been read and the active state.
     differences: Vec<HashedChange>,
 }
 
-/// How a repair goes on.
+/// The result of a step of a repair.
 #[derive(Debug)]
 pub(crate) enum RepairStep {
-    /// More is to be asked for.
+    /// More requests are needed.
     Pending,
-    /// The server is no longer at the version of the repair: changes have to be followed first.
+    /// The server is no longer at the target version, or no bucket differs: the changes have to be requested again.
     ServerAdvanced,
-    /// All is there and verified.
+    /// The repair is complete and its digest verified.
     Complete(CompletedRepair),
 }
 
-/// A verified repair.
+/// A repair whose result has the server's digest.
 #[derive(Debug)]
 pub(crate) struct CompletedRepair {
+    /// The version after the repair.
     pub(crate) version: Version,
+    /// The digest of all records after the repair.
     pub(crate) digest: Digest,
-    /// The difference to what is in force.
+    /// The changes that lead from the active state to that version.
     pub(crate) changes: Vec<HashedChange>,
 }
 
 impl Repair {
-    /// The repair towards a version and its digest, which the records in force do not have with `changes`.
+    /// Starts a repair towards the server's version and digest, which the active state does not reach by `changes`.
     pub(crate) fn new(version: Version, digest: Digest, changes: Vec<HashedChange>) -> Repair {
         Repair {
-            version,
-            digest,
+            target_version: version,
+            target_digest: digest,
             changes,
             expected_bucket_digests: Vec::new(),
             unread_buckets: Vec::new(),
@@ -57,11 +66,12 @@
         }
     }
 
+    /// The request for the digests of all buckets first, then for each bucket that differs.
     pub(crate) fn next_request(&self) -> ReplicaRequest {
         self.unread_buckets.last().map_or(ReplicaRequest::Digests, |bucket| ReplicaRequest::Bucket(*bucket))
     }
 
-    /// Takes the digests of all buckets.
+    /// Receives the digests of all buckets and determines which buckets differ.
     pub(crate) fn receive_digests(
         &mut self,
         response: DigestsResponse,
@@ -70,22 +80,22 @@
         if !self.unread_buckets.is_empty() {
             return Err(Rejection::UnexpectedResponse);
         }
-        verify_not_older(response.version, self.version)?;
-        if response.version > self.version {
+        verify_not_older(response.version, self.target_version)?;
+        if response.version > self.target_version {
             return Ok(RepairStep::ServerAdvanced);
         }
         let computed = active.projected_bucket_digests(&self.changes);
         if response.buckets.len() != computed.len() {
             return Err(Rejection::WrongBucketCount(response.buckets.len()));
         }
-        verify_digest(self.digest, response.buckets.iter().copied())?;
+        verify_digest(self.target_digest, response.buckets.iter().copied())?;
         let differs = |bucket: &usize| response.buckets[*bucket] != computed[*bucket];
         self.unread_buckets = (0..computed.len()).rev().filter(differs).collect();
         self.expected_bucket_digests = response.buckets;
         if self.unread_buckets.is_empty() { Ok(RepairStep::ServerAdvanced) } else { Ok(RepairStep::Pending) }
     }
 
-    /// Takes the records of the bucket that was asked for.
+    /// Receives the records of the requested bucket.
     pub(crate) fn receive_bucket(
         &mut self,
         response: BucketResponse,
@@ -97,14 +107,14 @@
         if response.bucket != requested {
             return Err(Rejection::WrongBucket { received: response.bucket, requested });
         }
-        verify_not_older(response.version, self.version)?;
-        if response.version > self.version {
+        verify_not_older(response.version, self.target_version)?;
+        if response.version > self.target_version {
             return Ok(RepairStep::ServerAdvanced);
         }
         verify_records(&records.records, response.version, None)?;
-        if let Some(foreign) = records.records.iter().find(|record| record.key_hash.bucket() != requested) {
+        if let Some(misplaced) = records.records.iter().find(|record| record.key_hash.bucket() != requested) {
             return Err(Rejection::RecordInWrongBucket {
-                key: foreign.change.key.clone(),
+                key: misplaced.change.key.clone(),
                 bucket: requested,
             });
         }
@@ -115,34 +125,43 @@
         )?;
         let removals = removals(requested, &records, active);
         removals.iter().try_for_each(|removal| active.validate_value(removal, validate))?;
-        let is_new = |record: &HashedChange| active.active_hash(record) != record.hash;
-        self.differences.extend(records.into_iter().filter(is_new));
+        let differs = |record: &HashedChange| active.active_hash(record) != record.hash;
+        self.differences.extend(records.into_iter().filter(differs));
         self.differences.extend(removals);
         self.unread_buckets.pop();
         self.read_buckets.insert(requested);
         if self.unread_buckets.is_empty() { self.complete(active) } else { Ok(RepairStep::Pending) }
     }
 
+    /// Verifies the result of the repair. Changes in buckets that have been read are superseded by those buckets.
     fn complete(&mut self, active: &ActiveState) -> Result<RepairStep, Rejection> {
         let mut changes = std::mem::take(&mut self.changes);
         changes.retain(|hashed| !self.read_buckets.contains(&hashed.key_hash.bucket()));
         changes.append(&mut self.differences);
-        let outlook = active.project(&changes);
-        verify_record_count(outlook.record_count, &active.limits)?;
-        if outlook.digest != self.digest {
-            return Err(Rejection::DigestMismatch { expected: self.digest, computed: outlook.digest });
+        let projected = active.project(&changes);
+        verify_record_count(projected.record_count, &active.limits)?;
+        if projected.digest != self.target_digest {
+            return Err(Rejection::DigestMismatch {
+                expected: self.target_digest,
+                computed: projected.digest,
+            });
         }
-        Ok(RepairStep::Complete(CompletedRepair { version: self.version, digest: self.digest, changes }))
+        Ok(RepairStep::Complete(CompletedRepair {
+            version: self.target_version,
+            digest: self.target_digest,
+            changes,
+        }))
     }
 }
 
-/// Removals of the records in force that a bucket does not hold. `records` are in the order of their keys.
+/// Removals of the active records that a received bucket does not contain. `records` are ordered by their keys.
 fn removals(bucket: usize, records: &[HashedChange], active: &ActiveState) -> Vec<HashedChange> {
-    let is_gone = |key: &&Key| records.binary_search_by(|record| record.change.key.cmp(key)).is_err();
+    let is_removed = |key: &&Key| records.binary_search_by(|record| record.change.key.cmp(key)).is_err();
     let keys = active.records.bucket_keys(bucket).unwrap_or_default();
-    keys.into_iter().filter(is_gone).map(|key| HashedChange::removal(key.clone())).collect()
+    keys.into_iter().filter(is_removed).map(|key| HashedChange::removal(key.clone())).collect()
 }
 
+/// Checks that partial digests sum up to the expected one.
 fn verify_digest(expected: Digest, parts: impl Iterator<Item = Digest>) -> Result<(), Rejection> {
     let computed = Digest(parts.fold(0, |sum, Digest(part)| sum.wrapping_add(part)));
     if computed == expected { Ok(()) } else { Err(Rejection::DigestMismatch { expected, computed }) }
--- a/crates/pondlb-control/src/replica.rs
+++ b/crates/pondlb-control/src/replica.rs
@@ -1,4 +1,4 @@
-//! A follower's side of the protocol: what to ask, and what to take of the answers.
+//! The follower's side of the protocol: which request to send next, and how a response changes the active state.
 
 use std::time::Duration;
 
@@ -12,69 +12,80 @@
     PendingResponse, Rejection, ReplicaRequest, SnapshotResponse, Update, Version,
 };
 
-/// After how many failed repairs in a row a snapshot is taken.
+/// The number of consecutive failed repairs after which a snapshot is read.
 const MAX_CONSECUTIVE_FAILED_REPAIRS: u32 = 3;
 
-/// How often in a row a snapshot starts over before the server is given up.
+/// The number of consecutive interrupted snapshots after which the response is rejected, so that the caller turns to
+/// another server.
 const MAX_CONSECUTIVE_INTERRUPTIONS: u32 = 3;
 
-/// Says whether a value may be taken for a record, or a record be removed, and why not.
+/// Validates the new value of a record, or its removal (`None`). The error is the reason why it is not allowed.
 pub type RecordValidator<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
 
-/// Keeps up with a control server. It holds the keys and hashes of all records, and leaves their values to its
-/// consumer.
+/// A state machine that follows a control server.
+///
+/// It stores the keys and hashes of all records. Their values are passed to the consumer in [`Update`]s and not kept.
 #[derive(Debug)]
 pub struct Replica {
+    /// The state that was handed to the consumer.
     active: ActiveState,
+    /// What the replica is doing.
     phase: Phase,
+    /// Whether the last comparison of digests matched.
     is_in_sync: bool,
-    /// Whether the version in force was handed on with its digest.
+    /// Whether the consumer has received the digest of the active version.
     is_version_verified: bool,
+    /// Failed repairs since the digest matched last, or since the last snapshot that they led to.
     consecutive_failed_repairs: u32,
+    /// Interrupted snapshots since the digest matched last, the server changed, or they led to a rejection.
     consecutive_interruptions: u32,
 }
 
+/// What a replica is doing.
 #[derive(Debug)]
 enum Phase {
-    /// Follows changes; in a hurry where more of them are known to be there.
-    Following { poll_immediately: bool },
-    /// Takes a whole state.
+    /// Requests the changes since the active version.
+    Following {
+        /// The next request does not let the server wait for new changes, because there may already be some.
+        poll_immediately: bool,
+    },
+    /// Reads the complete state.
     Snapshot(Box<StagedSnapshot>),
-    /// Repairs a wrong digest.
+    /// Repairs the buckets whose digests do not match.
     Repair(Box<Repair>),
 }
 
-/// An answer to [`Replica::next_request`].
+/// The response to a [`ReplicaRequest`].
 #[derive(Clone, Debug)]
 pub enum ReplicaResponse {
-    /// To [`ReplicaRequest::Changes`].
+    /// The response to [`ReplicaRequest::Changes`].
     Changes(ChangesResponse),
-    /// To [`ReplicaRequest::Snapshot`].
+    /// The response to [`ReplicaRequest::Snapshot`].
     Snapshot(SnapshotResponse),
-    /// To [`ReplicaRequest::Digests`].
+    /// The response to [`ReplicaRequest::Digests`].
     Digests(DigestsResponse),
-    /// To [`ReplicaRequest::Bucket`].
+    /// The response to [`ReplicaRequest::Bucket`].
     Bucket(BucketResponse),
 }
 
-/// What an answer has led to.
+/// The effect of a response.
 #[derive(Clone, Debug)]
 pub enum Progress {
-    /// There is nothing new.
+    /// There are no new changes.
     Unchanged,
-    /// Nothing can be put in force yet: the next call is due at once.
+    /// There is nothing to apply yet. The next request should be sent immediately.
     Pending,
-    /// This is to be put in force.
+    /// The replica has applied this update, which the consumer has to apply too.
     Applied(Update),
 }
 
 impl Replica {
-    /// A replica that holds nothing.
-    pub fn new(limits: Limits, names: KeyInterner) -> Replica {
+    /// Creates an empty replica, which first reads a snapshot. `key_interner` may be shared with other replicas.
+    pub fn new(limits: Limits, key_interner: KeyInterner) -> Replica {
         Replica {
             active: ActiveState {
                 limits,
-                key_interner: names,
+                key_interner,
                 version: Version::default(),
                 records: RecordHashes::new(),
             },
@@ -86,36 +97,37 @@
         }
     }
 
-    /// The version in force.
+    /// The active version.
     pub fn version(&self) -> Version {
         self.active.version
     }
 
-    /// The digest of the records in force.
+    /// The digest of the active records.
     pub fn digest(&self) -> Digest {
         self.active.records.digest()
     }
 
-    /// How many records are in force.
+    /// The number of active records.
     pub fn len(&self) -> usize {
         self.active.records.len()
     }
 
-    /// Whether no record is in force.
+    /// Whether there are no active records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the last digest compared was right.
+    /// Whether the last comparison of digests with the server matched.
     pub fn is_in_sync(&self) -> bool {
         self.is_in_sync
     }
 
-    /// What to ask next. The server may hold its answer for `hold` unless more is known to be there.
+    /// The next request to send. It lets the server wait up to `max_hold` for new changes, unless some may already be
+    /// available.
     pub fn next_request(&self, max_hold: Duration) -> ReplicaRequest {
         match &self.phase {
-            Phase::Following { poll_immediately: hurry } => {
-                let hold = if *hurry { LongPoll::No } else { LongPoll::UpTo(max_hold) };
+            Phase::Following { poll_immediately } => {
+                let hold = if *poll_immediately { LongPoll::No } else { LongPoll::UpTo(max_hold) };
                 ReplicaRequest::Changes { from: self.version(), digest: self.digest(), hold }
             }
             Phase::Snapshot(staged) => staged.next_request(max_hold, self.digest()),
@@ -123,7 +135,7 @@
         }
     }
 
-    /// Another server answers from now on: a half-taken snapshot or repair starts over.
+    /// Prepares for requests to another server. A snapshot starts over, and a repair counts as failed.
     pub fn reset_for_new_server(&mut self) {
         self.consecutive_interruptions = 0;
         match self.phase {
@@ -133,10 +145,10 @@
         }
     }
 
-    /// Takes an answer to [`Replica::next_request`]; `check` says whether a value may be taken.
+    /// Processes the response to [`Replica::next_request`]. `validate` is called for each changed value and removal.
     ///
     /// # Errors
-    /// [`Rejection`] where nothing of it is taken. What was in force stays so.
+    /// [`Rejection`] if the response is rejected. The active state does not change then.
     pub fn receive(
         &mut self,
         response: ReplicaResponse,
@@ -145,8 +157,8 @@
         self.receive_validated(PendingResponse::new(response), validate)
     }
 
-    /// Hashes and checks the next records of an answer, at most so many: for who has other things to do between.
-    /// Nothing of it is taken before [`Replica::receive_validated`].
+    /// Hashes and validates at most `max_records` of the remaining records of a response, so that the caller can do
+    /// other work between batches. Nothing is applied before [`Replica::receive_validated`].
     pub fn validate_batch(
         &self,
         pending: &mut PendingResponse,
@@ -156,10 +168,10 @@
         pending.validate_batch(&self.active, validate, max_records);
     }
 
-    /// Takes an answer as [`Replica::receive`] does, after as many of its records were checked as have been.
+    /// Processes a response like [`Replica::receive`]. Records that have not been validated yet are validated first.
     ///
     /// # Errors
-    /// [`Rejection`] where nothing of it is taken. What was in force stays so.
+    /// [`Rejection`] if the response is rejected. The active state does not change then.
     pub fn receive_validated(
         &mut self,
         pending: PendingResponse,
@@ -192,6 +204,7 @@
         }
     }
 
+    /// Passes a response with changes to the current phase.
     fn receive_changes(
         &mut self,
         response: ChangesResponse,
@@ -208,6 +221,7 @@
         }
     }
 
+    /// Applies changes to the active state, or starts a repair or a snapshot where they don't fit it.
     fn receive_followed_changes(
         &mut self,
         response: ChangesResponse,
@@ -220,10 +234,10 @@
         }
         verify_changes(&response, &changes.records, self.active.version.revision)?;
         let changes = changes.into_accepted()?;
-        let outlook = self.active.project(&changes);
-        verify_record_count(outlook.record_count, &self.active.limits.for_page(response.has_more))?;
+        let projected = self.active.project(&changes);
+        verify_record_count(projected.record_count, &self.active.limits.for_page(response.has_more))?;
         let expected = response.digest.filter(|_| !response.has_more);
-        if let Some(expected) = expected.filter(|expected| *expected != outlook.digest) {
+        if let Some(expected) = expected.filter(|expected| *expected != projected.digest) {
             self.is_in_sync = false;
             self.phase = Phase::Repair(Box::new(Repair::new(response.version, expected, changes)));
             return Ok(Progress::Pending);
@@ -232,19 +246,20 @@
         if expected.is_some() {
             self.record_digest_match();
         }
-        let is_news =
+        let has_news =
             response.version > self.active.version || expected.is_some() && !self.is_version_verified;
-        if changes.is_empty() && !is_news {
+        if changes.is_empty() && !has_news {
             return Ok(Progress::Unchanged);
         }
         Ok(Progress::Applied(self.apply(response.version, expected, changes, response.has_more)))
     }
 
+    /// Continues after a step of a snapshot.
     fn handle_snapshot_step(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(SnapshotStep::Pending) => Ok(Progress::Pending),
             Ok(SnapshotStep::Interrupted) => self.restart_snapshot(),
-            Ok(SnapshotStep::Complete(state)) => Ok(Progress::Applied(self.apply_whole_state(*state))),
+            Ok(SnapshotStep::Complete(snapshot)) => Ok(Progress::Applied(self.apply_whole_state(*snapshot))),
             Err(rejection) => {
                 if let Rejection::DigestMismatch { .. } = rejection {
                     self.phase = Phase::begin_snapshot();
@@ -254,6 +269,7 @@
         }
     }
 
+    /// Starts an interrupted snapshot over, or rejects the response if this has happened too often.
     fn restart_snapshot(&mut self) -> Result<Progress, Rejection> {
         self.phase = Phase::begin_snapshot();
         self.consecutive_interruptions += 1;
@@ -263,6 +279,7 @@
         Err(Rejection::SnapshotsInterrupted(std::mem::take(&mut self.consecutive_interruptions)))
     }
 
+    /// Continues after a step of a repair.
     fn handle_repair_step(&mut self, step: Result<RepairStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(RepairStep::Pending) => Ok(Progress::Pending),
@@ -286,7 +303,7 @@
         }
     }
 
-    /// Follows changes again, or begins a snapshot where too many repairs have failed.
+    /// Returns to following changes, or starts a snapshot if too many consecutive repairs have failed.
     fn abandon_repair(&mut self) {
         self.consecutive_failed_repairs += 1;
         self.phase = Phase::Following { poll_immediately: true };
@@ -296,29 +313,31 @@
         }
     }
 
+    /// Records that the digest matched the server's.
     fn record_digest_match(&mut self) {
         self.is_in_sync = true;
         self.consecutive_failed_repairs = 0;
         self.consecutive_interruptions = 0;
     }
 
-    /// Puts changes in force one by one.
+    /// Applies changes to the active state one by one and returns them as an update.
     fn apply(
         &mut self,
         version: Version,
         digest: Option<Digest>,
         changes: Vec<HashedChange>,
-        more: bool,
+        has_more: bool,
     ) -> Update {
         changes.iter().for_each(|change| self.active.apply(change));
         self.active.version = version;
         self.is_version_verified = digest.is_some();
-        Update { version, digest, is_whole_state: false, changes: without_hashes(changes), has_more: more }
+        Update { version, digest, is_whole_state: false, changes: without_hashes(changes), has_more }
     }
 
-    /// Puts a whole state in force: by its differences where they are few, else as it was staged.
-    fn apply_whole_state(&mut self, state: VerifiedSnapshot) -> Update {
-        let VerifiedSnapshot { version, records, changes } = state;
+    /// Makes a snapshot the active state. If it changes at most half as many records as are active, only the changes
+    /// are applied; otherwise the staged records replace the active ones.
+    fn apply_whole_state(&mut self, snapshot: VerifiedSnapshot) -> Update {
+        let VerifiedSnapshot { version, records, changes } = snapshot;
         self.record_digest_match();
         self.phase = Phase::Following { poll_immediately: false };
         let digest = Some(records.digest());
--- a/crates/pondlb-control/src/store.rs
+++ b/crates/pondlb-control/src/store.rs
@@ -15,35 +15,42 @@
     RecordValidator, SnapshotResponse, Update, Version,
 };
 
-/// The most bytes of an answer's JSON beside its changes or records and the key of the next piece.
+/// The maximum size in bytes of a response's JSON without its changes or records and the key of the next page.
 const RESPONSE_OVERHEAD_BYTES: usize = 192;
 
-/// The most bytes of a change's JSON beside its key and value.
+/// The maximum size in bytes of a change's JSON without its key and value.
 const CHANGE_OVERHEAD_BYTES: usize = 60;
 
-/// All records at a control server: the origin numbers changes with it, a replica server keeps up with the origin.
+/// All records of a control server. The store of the origin numbers the changes that are committed to it; the store of
+/// a replica server applies the updates that its replica has received.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
-    /// Whether it numbers changes itself.
+    /// Whether the store numbers changes itself.
     is_origin: bool,
+    /// The version of the last change.
     version: Version,
-    /// Whether no piece of changes is missing up to the version.
+    /// Whether the store has the complete state of its version, not only some of the pages of changes that lead to it.
     is_at_complete_version: bool,
     records: BTreeMap<Key, Record>,
+    /// The bytes of all keys and values.
     total_bytes: usize,
+    /// The hashes of the records, for digests.
     record_hashes: RecordHashes,
+    /// The changes that followers can be sent without a snapshot.
     change_log: ChangeLog,
 }
 
 #[derive(Debug)]
 struct Record {
+    /// The revision that set the record.
     revision: u64,
+    /// The JSON text of the value, without whitespace.
     value: Box<RawValue>,
 }
 
 impl Store {
-    /// An empty store: the origin's in an epoch of its own, or a replica server's in epoch 0.
+    /// Creates an empty store: that of an origin with its own epoch, or that of a replica server with epoch 0.
     pub fn new(epoch: u64, limits: Limits) -> Store {
         Store {
             limits,
@@ -67,32 +74,33 @@
         self.record_hashes.digest()
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The keys of all records of one kind.
+    /// The keys of all records of one kind, in ascending order.
     pub fn keys(&self, kind: RecordKind) -> impl Iterator<Item = &Key> {
         let records = self.records.range::<str, _>((Bound::Included(kind.prefix()), Bound::Unbounded));
         records.map(|(key, _)| key).take_while(move |key| key.kind() == kind)
     }
 
-    /// Bytes of all keys and values.
+    /// The bytes of all keys and values.
     pub fn total_bytes(&self) -> usize {
         self.total_bytes
     }
 
-    /// Numbers and takes changes, all or none. The texts of values are freed of white space; from then on they travel
-    /// unchanged.
+    /// Numbers and applies changes, all or none of them. Whitespace is removed from the JSON text of values, which from
+    /// then on is passed on unchanged.
     ///
     /// # Errors
-    /// [`CommitError`] where the limits or the checker don't allow one of them.
+    /// [`CommitError`] if this is not the store of an origin, or the limits or the validator do not allow one of the
+    /// changes.
     pub fn commit(
         &mut self,
         changes: &[NewChange],
@@ -102,8 +110,8 @@
             return Err(CommitError::NotOrigin);
         }
         let values = validated_values(changes, &self.limits, validate)?;
-        let extent = StoreSize { records: self.len(), bytes: self.total_bytes };
-        size_after(extent, changes, &values, |key| self.value_bytes(key)).verify_within(&self.limits)?;
+        let size = StoreSize { records: self.len(), bytes: self.total_bytes };
+        size_after(size, changes, &values, |key| self.value_bytes(key)).verify_within(&self.limits)?;
         for (change, value) in changes.iter().zip(values) {
             self.version.revision += 1;
             self.put_record(&change.key, value, self.version.revision);
@@ -111,8 +119,8 @@
         Ok(self.version)
     }
 
-    /// Takes what a replica has verified, with its revisions and epoch. An update that is older than what is held
-    /// changes nothing.
+    /// Applies an update of a replica with its epoch and revisions. An update that is older than the store's version is
+    /// ignored.
     pub fn apply_update(&mut self, update: &Update) {
         if update.version < self.version {
             return;
@@ -127,8 +135,8 @@
         self.is_at_complete_version = update.digest.is_some();
     }
 
-    /// What is newer than a caller's version, in at most so many bytes (but one change at least).
-    pub fn changes_since(&self, from: Version, most_bytes: usize) -> ChangesResponse {
+    /// The changes since a follower's version, at least one and then as many as fit into `max_bytes` of JSON.
+    pub fn changes_since(&self, from: Version, max_bytes: usize) -> ChangesResponse {
         let mut response = ChangesResponse {
             version: self.version,
             from_revision: from.revision,
@@ -141,22 +149,22 @@
         let is_known = from.epoch == self.version.epoch && self.change_log.is_complete_since(from.revision);
         response.reset = from < self.version && !is_known;
         if is_known && from < self.version {
-            self.fill_changes(&mut response, most_bytes);
+            self.fill_changes(&mut response, max_bytes);
         }
         response.digest = Some(self.digest())
             .filter(|_| self.is_at_complete_version && !response.has_more && !response.reset);
         response
     }
 
-    /// The records behind a key, or the first ones, in at most so many bytes (but one record at least).
-    pub fn snapshot_page(&self, after: Option<&Key>, most_bytes: usize) -> SnapshotResponse {
+    /// The records after a key, or the first ones: at least one and then as many as fit into `max_bytes` of JSON.
+    pub fn snapshot_page(&self, after: Option<&Key>, max_bytes: usize) -> SnapshotResponse {
         let mut response = SnapshotResponse { version: self.version, records: Vec::new(), next_after: None };
         let mut bytes = RESPONSE_OVERHEAD_BYTES;
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         for (key, record) in self.records.range::<Key, _>((start, Bound::Unbounded)) {
             let key_bytes = escaped_bytes(key.as_str());
             bytes += encoded_change_bytes(key, Some(&record.value));
-            if bytes + key_bytes > most_bytes && !response.records.is_empty() {
+            if bytes + key_bytes > max_bytes && !response.records.is_empty() {
                 response.next_after = response.records.last().map(|last| last.key.clone());
                 break;
             }
@@ -170,24 +178,25 @@
         DigestsResponse { version: self.version, buckets: self.record_hashes.bucket_digests().collect() }
     }
 
-    /// Whether there is a bucket of this number.
+    /// Whether there is a bucket with this number.
     pub fn has_bucket(&self, bucket: usize) -> bool {
         bucket < BUCKET_COUNT
     }
 
-    /// All records of one bucket; none where there is no such bucket.
+    /// All records of one bucket; `None` if there is no such bucket.
     pub fn bucket_records(&self, bucket: usize) -> Option<BucketResponse> {
         let keys = self.record_hashes.bucket_keys(bucket)?.into_iter();
         let records = keys.filter_map(|key| self.records.get(key).map(|record| record.as_change(key)));
         Some(BucketResponse { version: self.version, bucket, records: records.collect() })
     }
 
-    fn fill_changes(&self, response: &mut ChangesResponse, most_bytes: usize) {
+    /// Adds the changes since the response's `from_revision` and adjusts its version if not all of them fit.
+    fn fill_changes(&self, response: &mut ChangesResponse, max_bytes: usize) {
         let mut bytes = RESPONSE_OVERHEAD_BYTES;
         for (revision, key) in self.change_log.changes_since(response.from_revision) {
             let value = self.records.get(key).map(|record| &record.value);
             bytes += encoded_change_bytes(key, value.map(Box::as_ref));
-            if let Some(last) = response.changes.last().filter(|_| bytes > most_bytes) {
+            if let Some(last) = response.changes.last().filter(|_| bytes > max_bytes) {
                 response.version.revision = last.revision;
                 response.has_more = true;
                 return;
@@ -196,10 +205,12 @@
         }
     }
 
+    /// The length of a record's value in bytes, if there is such a record.
     fn value_bytes(&self, key: &Key) -> Option<usize> {
         self.records.get(key).map(|record| record.value.get().len())
     }
 
+    /// Sets a record, or removes it if `value` is `None`.
     fn put_record(&mut self, key: &Key, value: Option<Box<RawValue>>, revision: u64) {
         let key_bytes = key.as_str().len();
         let Some(value) = value else {
@@ -211,27 +222,30 @@
         };
         self.record_hashes.set(key, KeyHash::of(key), record_hash(key, value.get()), Key::clone);
         self.total_bytes += key_bytes + value.get().len();
-        let before = self.records.insert(key.clone(), Record { revision, value });
-        self.total_bytes -= before.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
-        self.change_log.record_set(key, revision, before.map(|record| record.revision));
+        let replaced = self.records.insert(key.clone(), Record { revision, value });
+        self.total_bytes -= replaced.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
+        self.change_log.record_set(key, revision, replaced.map(|record| record.revision));
     }
 
-    /// After a whole new state: which change removed a record is unknown, and revisions of an older epoch say nothing.
+    /// Clears the change log after a complete new state: it is unknown which changes removed records, and the revisions
+    /// of an older epoch have no meaning in the new one.
     fn reset_change_log(&mut self) {
-        let newest = self.version.revision;
-        self.change_log.clear(newest);
+        let newest_revision = self.version.revision;
+        self.change_log.clear(newest_revision);
         for record in self.records.values_mut() {
-            record.revision = record.revision.min(newest);
+            record.revision = record.revision.min(newest_revision);
         }
     }
 }
 
 impl Record {
+    /// The record in the form of a change that sets it.
     fn as_change(&self, key: &Key) -> Change {
         Change { revision: self.revision, key: key.clone(), value: Some(self.value.clone()) }
     }
 }
 
+/// An upper bound on the size of a change in a response's JSON.
 fn encoded_change_bytes(key: &Key, value: Option<&RawValue>) -> usize {
     CHANGE_OVERHEAD_BYTES + escaped_bytes(key.as_str()) + value.map_or(0, |value| value.get().len())
 }
--- a/crates/pondlb-control/src/update.rs
+++ b/crates/pondlb-control/src/update.rs
@@ -1,43 +1,43 @@
-//! What a replica hands to its consumer.
+//! The updates that a replica passes to its consumer.
 
 use crate::{Change, Digest, Version};
 
-/// Changes that a consumer puts in force.
+/// Changes that a consumer has to apply.
 ///
-/// Whole states and repairs come verified by their digest, pieces of changes as they are taken. For a whole state or
-/// a repair the changes are the difference to what was held before; records that it removes have the revision 0, as
-/// nobody has told which change removed them. An update without changes tells a newer version, or the digest of a
-/// version that came without one.
+/// Complete states and repairs are passed on after their digest was verified, pages of changes as soon as they are
+/// received. For a complete state or a repair the changes are the differences to the previous state; the records that
+/// it removes have revision 0, as it is unknown which change removed them. An update without changes reports a newer
+/// version, or the digest of a version that was reported without one.
 #[derive(Clone, Debug)]
 pub struct Update {
-    /// The version that holds once the changes are in force.
+    /// The version after the changes.
     pub version: Version,
-    /// The digest of all records, where it was compared.
+    /// The digest of all records after the changes; `None` if it was not compared with the server's.
     pub digest: Option<Digest>,
-    /// The difference to a whole new state: versions between are unknown.
+    /// Whether the changes lead to a complete new state, so that the versions in between are unknown.
     pub is_whole_state: bool,
-    /// What to change, each record once.
+    /// The changes, each of a different record.
     pub changes: Vec<Change>,
-    /// More follows at once.
+    /// Whether more changes follow immediately.
     pub has_more: bool,
 }
 
 impl Update {
-    /// The same update in slices of `most` changes, for consumers that apply a few at a time. The version holds, and
-    /// the digest is told, with the last one.
+    /// Divides the update into batches of at most `max_changes` changes, for consumers that apply a few at a time. The
+    /// version is reached with the last batch, and only that one has the digest.
     pub fn into_batches(self, max_changes: usize) -> impl Iterator<Item = Update> {
-        let Update { version, digest, is_whole_state: whole, changes, has_more: more } = self;
-        let most = max_changes.max(1);
-        let slices = changes.len().div_ceil(most).max(1);
+        let Update { version, digest, is_whole_state, changes, has_more } = self;
+        let batch_size = max_changes.max(1);
+        let batch_count = changes.len().div_ceil(batch_size).max(1);
         let mut changes = changes.into_iter();
-        (1..=slices).map(move |number| {
-            let is_last = number == slices;
+        (1..=batch_count).map(move |number| {
+            let is_last = number == batch_count;
             Update {
                 version,
                 digest: digest.filter(|_| is_last),
-                is_whole_state: whole,
-                changes: changes.by_ref().take(most).collect(),
-                has_more: more || !is_last,
+                is_whole_state,
+                changes: changes.by_ref().take(batch_size).collect(),
+                has_more: has_more || !is_last,
             }
         })
     }
