--- a/crates/pondlb-control/src/commit.rs
+++ b/crates/pondlb-control/src/commit.rs
@@ -1,128 +1,130 @@
-//! Checks of a commit before anything of it is taken.
+//! Validation of a commit, which is accepted or rejected as a whole.
 
 use std::collections::HashMap;
 
 use serde_json::value::RawValue;
 
-use crate::json::{NULL, compact_value};
-use crate::{Check, Key, Limits, NewChange};
+use crate::json::{NULL, value_without_whitespace};
+use crate::{Key, Limits, NewChange, RecordValidator};
 
-/// Why nothing of a commit is taken.
+/// Why a commit is rejected. None of its changes is applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
-    /// The store numbers no changes: it has no epoch of its own.
+    /// The store belongs to a replica server, which has no epoch of its own and so does not number changes.
     #[error("this server has no epoch of its own to number changes in")]
-    NoEpoch,
-    /// There would be more records than the store takes.
-    #[error("{records} records are more than {most}")]
+    NotOrigin,
+    /// The store would exceed [`Limits::max_records`].
+    #[error("{records} records are more than {max}")]
     TooManyRecords {
-        /// How many there would be.
+        /// The number of records after the commit.
         records: usize,
-        /// How many the store takes.
-        most: usize,
+        /// The maximum number of records.
+        max: usize,
     },
-    /// A value is longer than the store takes.
-    #[error("{key}: {bytes} bytes of value are more than {most}")]
+    /// A value exceeds [`Limits::max_value_bytes`].
+    #[error("{key}: {bytes} bytes of value are more than {max}")]
     ValueTooLong {
-        /// Whose value.
+        /// The key of the record.
         key: Key,
-        /// Its length.
+        /// The length of the value in bytes, without whitespace.
         bytes: usize,
-        /// How long it may be.
-        most: usize,
+        /// The maximum length in bytes.
+        max: usize,
     },
-    /// There would be more bytes of keys and values than the store takes.
-    #[error("{bytes} bytes of keys and values are more than {most}")]
+    /// The store would exceed [`Limits::max_total_bytes`].
+    #[error("{bytes} bytes of keys and values are more than {max}")]
     TooManyBytes {
-        /// How many there would be.
+        /// Bytes of keys and values after the commit.
         bytes: usize,
-        /// How many the store takes.
-        most: usize,
+        /// The maximum number of bytes.
+        max: usize,
     },
-    /// A value is JSON's null, which stands for a removed record.
+    /// A value is the JSON `null`, which on the wire denotes a removed record.
     #[error("{0}: a value can't be null")]
     NullValue(Key),
-    /// A value is no JSON text.
+    /// A value is not valid JSON.
     #[error("{0}: the value is no JSON")]
-    NoJson(Key),
-    /// The checker does not allow a change.
+    InvalidJson(Key),
+    /// The validator rejects a change.
     #[error("{key}: {reason}")]
-    Refused {
-        /// Which record.
+    InvalidRecord {
+        /// The key of the record.
         key: Key,
-        /// What the checker said.
+        /// The validator's reason.
         reason: String,
     },
 }
 
-/// How much a store holds.
+/// The size of a store's records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Extent {
-    /// Number of records.
+pub(crate) struct StoreSize {
+    /// The number of records.
     pub(crate) records: usize,
-    /// Bytes of keys and values.
+    /// The bytes of all keys and values.
     pub(crate) bytes: usize,
 }
 
-/// The values of a commit with their texts normalised, each within the limits and allowed by the checker.
-pub(crate) fn checked_values(
+/// The values of a commit without whitespace, each within the limits and accepted by the validator. `None` stands for a
+/// removal.
+pub(crate) fn validated_values(
     changes: &[NewChange],
     limits: &Limits,
-    check: &Check<'_>,
+    validate: &RecordValidator<'_>,
 ) -> Result<Vec<Option<Box<RawValue>>>, CommitError> {
-    changes.iter().map(|change| checked_value(change, limits, check)).collect()
+    changes.iter().map(|change| validated_value(change, limits, validate)).collect()
 }
 
-fn checked_value(
+fn validated_value(
     NewChange { key, value }: &NewChange,
     limits: &Limits,
-    check: &Check<'_>,
+    validate: &RecordValidator<'_>,
 ) -> Result<Option<Box<RawValue>>, CommitError> {
-    let compacted = value.as_deref().map(compact_value).transpose();
-    let value = compacted.map_err(|_| CommitError::NoJson(key.clone()))?;
+    let normalized = value.as_deref().map(value_without_whitespace).transpose();
+    let value = normalized.map_err(|_| CommitError::InvalidJson(key.clone()))?;
     let text = value.as_deref().map(RawValue::get);
     if text == Some(NULL) {
         return Err(CommitError::NullValue(key.clone()));
     }
     let bytes = text.map_or(0, str::len);
-    if bytes > limits.value_bytes {
-        return Err(CommitError::ValueTooLong { key: key.clone(), bytes, most: limits.value_bytes });
+    if bytes > limits.max_value_bytes {
+        return Err(CommitError::ValueTooLong { key: key.clone(), bytes, max: limits.max_value_bytes });
     }
-    check(key, text).map_err(|reason| CommitError::Refused { key: key.clone(), reason })?;
+    validate(key, text).map_err(|reason| CommitError::InvalidRecord { key: key.clone(), reason })?;
     Ok(value)
 }
 
-/// How much a store holds after these changes, if it holds `extent` before; `held` tells the length of a value held.
-pub(crate) fn extent_after(
-    mut extent: Extent,
+/// The size of a store after these changes, given its `size` before them. `active_value_bytes` returns the length of
+/// the value that the store has for a key.
+pub(crate) fn size_after(
+    mut size: StoreSize,
     changes: &[NewChange],
     values: &[Option<Box<RawValue>>],
-    held: impl Fn(&Key) -> Option<usize>,
-) -> Extent {
-    let mut changed: HashMap<&Key, Option<usize>> = HashMap::with_capacity(changes.len());
+    active_value_bytes: impl Fn(&Key) -> Option<usize>,
+) -> StoreSize {
+    let mut changed_lengths: HashMap<&Key, Option<usize>> = HashMap::with_capacity(changes.len());
     for (NewChange { key, .. }, value) in changes.iter().zip(values) {
         let after = value.as_deref().map(|value| value.get().len());
-        let before = changed.insert(key, after).unwrap_or_else(|| held(key));
+        let before = changed_lengths.insert(key, after).unwrap_or_else(|| active_value_bytes(key));
         if let Some(length) = before {
-            extent.records -= 1;
-            extent.bytes -= key.as_str().len() + length;
+            size.records -= 1;
+            size.bytes -= key.as_str().len() + length;
         }
         if let Some(length) = after {
-            extent.records += 1;
-            extent.bytes += key.as_str().len() + length;
+            size.records += 1;
+            size.bytes += key.as_str().len() + length;
         }
     }
-    extent
+    size
 }
 
-impl Extent {
-    /// Whether the limits allow so much.
-    pub(crate) fn keep(&self, limits: &Limits) -> Result<(), CommitError> {
-        if self.records > limits.records {
-            return Err(CommitError::TooManyRecords { records: self.records, most: limits.records });
+impl StoreSize {
+    /// Checks the size against the limits.
+    pub(crate) fn verify_within(&self, limits: &Limits) -> Result<(), CommitError> {
+        if self.records > limits.max_records {
+            return Err(CommitError::TooManyRecords { records: self.records, max: limits.max_records });
         }
-        if self.bytes > limits.total_bytes {
-            return Err(CommitError::TooManyBytes { bytes: self.bytes, most: limits.total_bytes });
+        if self.bytes > limits.max_total_bytes {
+            return Err(CommitError::TooManyBytes { bytes: self.bytes, max: limits.max_total_bytes });
         }
         Ok(())
     }
--- a/crates/pondlb-control/src/replica.rs
+++ b/crates/pondlb-control/src/replica.rs
@@ -1,227 +1,267 @@
-//! A follower's side of the protocol: what to ask, and what to take of the answers.
+//! The follower's side of the protocol: which request to send next, and how a response changes the active state.
 
 use std::time::Duration;
 
-use crate::held::{HashedChange, Held, verify_changes, verify_count, verify_not_older};
-use crate::pending::CheckedRecords;
+use crate::active_state::{ActiveState, HashedChange, verify_changes, verify_not_older, verify_record_count};
+use crate::pending_response::ValidatedRecords;
 use crate::record_hashes::RecordHashes;
-use crate::repair::{Repair, RepairStep, Repaired};
-use crate::snapshot::{SnapshotStep, StagedSnapshot, WholeState};
+use crate::repair::{CompletedRepair, Repair, RepairStep};
+use crate::snapshot::{SnapshotStep, StagedSnapshot, VerifiedSnapshot};
 use crate::{
-    BucketAnswer, Call, Change, ChangesAnswer, Digest, DigestsAnswer, Hold, Key, Limits, Names,
-    PendingAnswer, Rejection, SnapshotAnswer, Update, Version,
+    BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, KeyInterner, Limits, LongPoll,
+    PendingResponse, Rejection, ReplicaRequest, SnapshotResponse, Update, Version,
 };
 
-/// After how many failed repairs in a row a snapshot is taken.
-const MOST_FAILED_REPAIRS: u32 = 3;
+/// The number of consecutive failed repairs after which a snapshot is read.
+const MAX_CONSECUTIVE_FAILED_REPAIRS: u32 = 3;
 
-/// How often in a row a snapshot starts over before the server is given up.
-const MOST_INTERRUPTIONS: u32 = 3;
+/// The number of consecutive interrupted snapshots after which the response is rejected, so that the caller turns to
+/// another server.
+const MAX_CONSECUTIVE_INTERRUPTIONS: u32 = 3;
 
-/// Says whether a value may be taken for a record, or a record be removed, and why not.
-pub type Check<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
+/// Validates the new value of a record, or its removal (`None`). The error is the reason why it is not allowed.
+pub type RecordValidator<'a> = dyn Fn(&Key, Option<&str>) -> Result<(), String> + 'a;
 
-/// Keeps up with a control server. It holds the keys and hashes of all records, and leaves their values to its
-/// consumer.
+/// A state machine that follows a control server.
+///
+/// It stores the keys and hashes of all records. Their values are passed to the consumer in [`Update`]s and not kept.
 #[derive(Debug)]
 pub struct Replica {
-    held: Held,
+    /// The state that was handed to the consumer.
+    active: ActiveState,
+    /// What the replica is doing.
     phase: Phase,
+    /// Whether the last comparison of digests matched.
     is_in_sync: bool,
-    /// Whether the version in force was handed on with its digest.
-    is_verified: bool,
-    failed_repairs: u32,
-    interruptions: u32,
+    /// Whether the consumer has received the digest of the active version.
+    is_version_verified: bool,
+    /// Failed repairs since the digest matched last, or since the last snapshot that they led to.
+    consecutive_failed_repairs: u32,
+    /// Interrupted snapshots since the digest matched last, the server changed, or they led to a rejection.
+    consecutive_interruptions: u32,
 }
 
+/// What a replica is doing.
 #[derive(Debug)]
 enum Phase {
-    /// Follows changes; in a hurry where more of them are known to be there.
-    Following { hurry: bool },
-    /// Takes a whole state.
+    /// Requests the changes since the active version.
+    Following {
+        /// The next request does not let the server wait for new changes, because there may already be some.
+        poll_immediately: bool,
+    },
+    /// Reads the complete state.
     Snapshot(Box<StagedSnapshot>),
-    /// Repairs a wrong digest.
+    /// Repairs the buckets whose digests do not match.
     Repair(Box<Repair>),
 }
 
-/// An answer to [`Replica::next_call`].
+/// The response to a [`ReplicaRequest`].
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// To [`Call::Changes`].
-    Changes(ChangesAnswer),
-    /// To [`Call::Snapshot`].
-    Snapshot(SnapshotAnswer),
-    /// To [`Call::Digests`].
-    Digests(DigestsAnswer),
-    /// To [`Call::Bucket`].
-    Bucket(BucketAnswer),
+pub enum ReplicaResponse {
+    /// The response to [`ReplicaRequest::Changes`].
+    Changes(ChangesResponse),
+    /// The response to [`ReplicaRequest::Snapshot`].
+    Snapshot(SnapshotResponse),
+    /// The response to [`ReplicaRequest::Digests`].
+    Digests(DigestsResponse),
+    /// The response to [`ReplicaRequest::Bucket`].
+    Bucket(BucketResponse),
 }
 
-/// What an answer has led to.
+/// The effect of a response.
 #[derive(Clone, Debug)]
 pub enum Progress {
-    /// There is nothing new.
+    /// There are no new changes.
     Unchanged,
-    /// Nothing can be put in force yet: the next call is due at once.
+    /// There is nothing to apply yet. The next request should be sent immediately.
     Pending,
-    /// This is to be put in force.
+    /// The replica has applied this update, which the consumer has to apply too.
     Applied(Update),
 }
 
 impl Replica {
-    /// A replica that holds nothing.
-    pub fn new(limits: Limits, names: Names) -> Replica {
+    /// Creates an empty replica, which first reads a snapshot. `key_interner` may be shared with other replicas.
+    pub fn new(limits: Limits, key_interner: KeyInterner) -> Replica {
         Replica {
-            held: Held { limits, names, version: Version::default(), records: RecordHashes::new() },
+            active: ActiveState {
+                limits,
+                key_interner,
+                version: Version::default(),
+                records: RecordHashes::new(),
+            },
             phase: Phase::begin_snapshot(),
             is_in_sync: false,
-            is_verified: false,
-            failed_repairs: 0,
-            interruptions: 0,
+            is_version_verified: false,
+            consecutive_failed_repairs: 0,
+            consecutive_interruptions: 0,
         }
     }
 
-    /// The version in force.
+    /// The active version.
     pub fn version(&self) -> Version {
-        self.held.version
+        self.active.version
     }
 
-    /// The digest of the records in force.
+    /// The digest of the active records.
     pub fn digest(&self) -> Digest {
-        self.held.records.digest()
+        self.active.records.digest()
     }
 
-    /// How many records are in force.
+    /// The number of active records.
     pub fn len(&self) -> usize {
-        self.held.records.len()
+        self.active.records.len()
     }
 
-    /// Whether no record is in force.
+    /// Whether there are no active records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the last digest compared was right.
+    /// Whether the last comparison of digests with the server matched.
     pub fn is_in_sync(&self) -> bool {
         self.is_in_sync
     }
 
-    /// What to ask next. The server may hold its answer for `hold` unless more is known to be there.
-    pub fn next_call(&self, hold: Duration) -> Call {
+    /// The next request to send. It lets the server wait up to `max_hold` for new changes, unless some may already be
+    /// available.
+    pub fn next_request(&self, max_hold: Duration) -> ReplicaRequest {
         match &self.phase {
-            Phase::Following { hurry } => {
-                let hold = if *hurry { Hold::No } else { Hold::UpTo(hold) };
-                Call::Changes { from: self.version(), digest: self.digest(), hold }
+            Phase::Following { poll_immediately } => {
+                let hold = if *poll_immediately { LongPoll::No } else { LongPoll::UpTo(max_hold) };
+                ReplicaRequest::Changes { from: self.version(), digest: self.digest(), hold }
             }
-            Phase::Snapshot(staged) => staged.next_call(hold, self.digest()),
-            Phase::Repair(repair) => repair.next_call(),
+            Phase::Snapshot(staged) => staged.next_request(max_hold, self.digest()),
+            Phase::Repair(repair) => repair.next_request(),
         }
     }
 
-    /// Another server answers from now on: a half-taken snapshot or repair starts over.
-    pub fn restart(&mut self) {
-        self.interruptions = 0;
+    /// Prepares for requests to another server. A snapshot starts over, and a repair counts as failed.
+    pub fn reset_for_new_server(&mut self) {
+        self.consecutive_interruptions = 0;
         match self.phase {
-            Phase::Following { .. } => self.phase = Phase::Following { hurry: true },
+            Phase::Following { .. } => self.phase = Phase::Following { poll_immediately: true },
             Phase::Snapshot(_) => self.phase = Phase::begin_snapshot(),
-            Phase::Repair(_) => self.end_failed_repair(),
+            Phase::Repair(_) => self.abandon_repair(),
         }
     }
 
-    /// Takes an answer to [`Replica::next_call`]; `check` says whether a value may be taken.
+    /// Processes the response to [`Replica::next_request`]. `validate` is called for each changed value and removal.
     ///
     /// # Errors
-    /// [`Rejection`] where nothing of it is taken. What was in force stays so.
-    pub fn receive(&mut self, answer: Answer, check: &Check<'_>) -> Result<Progress, Rejection> {
-        self.receive_checked(PendingAnswer::new(answer), check)
+    /// [`Rejection`] if the response is rejected. The active state does not change then.
+    pub fn receive(
+        &mut self,
+        response: ReplicaResponse,
+        validate: &RecordValidator<'_>,
+    ) -> Result<Progress, Rejection> {
+        self.receive_validated(PendingResponse::new(response), validate)
     }
 
-    /// Hashes and checks the next records of an answer, at most so many: for who has other things to do between.
-    /// Nothing of it is taken before [`Replica::receive_checked`].
-    pub fn check_slice(&self, pending: &mut PendingAnswer, check: &Check<'_>, most: usize) {
-        pending.check_slice(&self.held, check, most);
+    /// Hashes and validates at most `max_records` of the remaining records of a response, so that the caller can do
+    /// other work between batches. Nothing is applied before [`Replica::receive_validated`].
+    pub fn validate_batch(
+        &self,
+        pending: &mut PendingResponse,
+        validate: &RecordValidator<'_>,
+        max_records: usize,
+    ) {
+        pending.validate_batch(&self.active, validate, max_records);
     }
 
-    /// Takes an answer as [`Replica::receive`] does, after as many of its records were checked as have been.
+    /// Processes a response like [`Replica::receive`]. Records that have not been validated yet are validated first.
     ///
     /// # Errors
-    /// [`Rejection`] where nothing of it is taken. What was in force stays so.
-    pub fn receive_checked(
+    /// [`Rejection`] if the response is rejected. The active state does not change then.
+    pub fn receive_validated(
         &mut self,
-        pending: PendingAnswer,
-        check: &Check<'_>,
+        pending: PendingResponse,
+        validate: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
-        let (answer, records) = pending.into_checked(&self.held, check);
-        match answer {
-            Answer::Changes(answer) => self.receive_changes(answer, records, check),
-            Answer::Snapshot(answer) => {
-                let Phase::Snapshot(staged) = &mut self.phase else { return Err(Rejection::WrongKind) };
-                let step = staged.receive_piece(answer, records, &self.held);
-                self.go_on_with_snapshot(step)
+        let (response, records) = pending.into_validated(&self.active, validate);
+        match response {
+            ReplicaResponse::Changes(response) => self.receive_changes(response, records, validate),
+            ReplicaResponse::Snapshot(response) => {
+                let Phase::Snapshot(staged) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
+                let step = staged.receive_page(response, records, &self.active);
+                self.handle_snapshot_step(step)
             }
-            Answer::Digests(answer) => {
-                let Phase::Repair(repair) = &mut self.phase else { return Err(Rejection::WrongKind) };
-                let step = repair.receive_digests(answer, &self.held);
-                self.go_on_with_repair(step)
+            ReplicaResponse::Digests(response) => {
+                let Phase::Repair(repair) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
+                let step = repair.receive_digests(response, &self.active);
+                self.handle_repair_step(step)
             }
-            Answer::Bucket(answer) => {
-                let Phase::Repair(repair) = &mut self.phase else { return Err(Rejection::WrongKind) };
-                let step = repair.receive_bucket(answer, records, &self.held, check);
-                self.go_on_with_repair(step)
+            ReplicaResponse::Bucket(response) => {
+                let Phase::Repair(repair) = &mut self.phase else {
+                    return Err(Rejection::UnexpectedResponse);
+                };
+                let step = repair.receive_bucket(response, records, &self.active, validate);
+                self.handle_repair_step(step)
             }
         }
     }
 
+    /// Passes a response with changes to the current phase.
     fn receive_changes(
         &mut self,
-        answer: ChangesAnswer,
-        changes: CheckedRecords,
-        check: &Check<'_>,
+        response: ChangesResponse,
+        changes: ValidatedRecords,
+        validate: &RecordValidator<'_>,
     ) -> Result<Progress, Rejection> {
         match &mut self.phase {
-            Phase::Following { .. } => self.follow(answer, changes),
+            Phase::Following { .. } => self.receive_followed_changes(response, changes),
             Phase::Snapshot(staged) => {
-                let step = staged.receive_changes(answer, changes, &self.held, check);
-                self.go_on_with_snapshot(step)
+                let step = staged.receive_changes(response, changes, &self.active, validate);
+                self.handle_snapshot_step(step)
             }
-            Phase::Repair(_) => Err(Rejection::WrongKind),
+            Phase::Repair(_) => Err(Rejection::UnexpectedResponse),
         }
     }
 
-    fn follow(&mut self, answer: ChangesAnswer, changes: CheckedRecords) -> Result<Progress, Rejection> {
-        verify_not_older(answer.version, self.held.version)?;
-        if answer.version.epoch > self.held.version.epoch || answer.reset {
+    /// Applies changes to the active state, or starts a repair or a snapshot where they don't fit it.
+    fn receive_followed_changes(
+        &mut self,
+        response: ChangesResponse,
+        changes: ValidatedRecords,
+    ) -> Result<Progress, Rejection> {
+        verify_not_older(response.version, self.active.version)?;
+        if response.version.epoch > self.active.version.epoch || response.reset {
             self.phase = Phase::begin_snapshot();
             return Ok(Progress::Pending);
         }
-        verify_changes(&answer, &changes.records, self.held.version.revision)?;
-        let changes = changes.accepted()?;
-        let outlook = self.held.outlook(&changes);
-        verify_count(outlook.records, &self.held.limits.at_piece(answer.more))?;
-        let told = answer.digest.filter(|_| !answer.more);
-        if let Some(told) = told.filter(|told| *told != outlook.digest) {
+        verify_changes(&response, &changes.records, self.active.version.revision)?;
+        let changes = changes.into_accepted()?;
+        let projected = self.active.project(&changes);
+        verify_record_count(projected.record_count, &self.active.limits.for_page(response.has_more))?;
+        let expected = response.digest.filter(|_| !response.has_more);
+        if let Some(expected) = expected.filter(|expected| *expected != projected.digest) {
             self.is_in_sync = false;
-            self.phase = Phase::Repair(Box::new(Repair::new(answer.version, told, changes)));
+            self.phase = Phase::Repair(Box::new(Repair::new(response.version, expected, changes)));
             return Ok(Progress::Pending);
         }
-        self.phase = Phase::Following { hurry: answer.more };
-        if told.is_some() {
-            self.note_right_digest();
+        self.phase = Phase::Following { poll_immediately: response.has_more };
+        if expected.is_some() {
+            self.record_digest_match();
         }
-        let is_news = answer.version > self.held.version || told.is_some() && !self.is_verified;
-        if changes.is_empty() && !is_news {
+        let has_news =
+            response.version > self.active.version || expected.is_some() && !self.is_version_verified;
+        if changes.is_empty() && !has_news {
             return Ok(Progress::Unchanged);
         }
-        Ok(Progress::Applied(self.apply(answer.version, told, changes, answer.more)))
+        Ok(Progress::Applied(self.apply(response.version, expected, changes, response.has_more)))
     }
 
-    fn go_on_with_snapshot(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
+    /// Continues after a step of a snapshot.
+    fn handle_snapshot_step(&mut self, step: Result<SnapshotStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(SnapshotStep::Pending) => Ok(Progress::Pending),
-            Ok(SnapshotStep::StartOver) => self.start_snapshot_over(),
-            Ok(SnapshotStep::Complete(state)) => Ok(Progress::Applied(self.take_whole_state(*state))),
+            Ok(SnapshotStep::Interrupted) => self.restart_snapshot(),
+            Ok(SnapshotStep::Complete(snapshot)) => Ok(Progress::Applied(self.apply_whole_state(*snapshot))),
             Err(rejection) => {
-                if let Rejection::WrongDigest { .. } = rejection {
+                if let Rejection::DigestMismatch { .. } = rejection {
                     self.phase = Phase::begin_snapshot();
                 }
                 Err(rejection)
@@ -229,81 +269,85 @@
         }
     }
 
-    fn start_snapshot_over(&mut self) -> Result<Progress, Rejection> {
+    /// Starts an interrupted snapshot over, or rejects the response if this has happened too often.
+    fn restart_snapshot(&mut self) -> Result<Progress, Rejection> {
         self.phase = Phase::begin_snapshot();
-        self.interruptions += 1;
-        if self.interruptions < MOST_INTERRUPTIONS {
+        self.consecutive_interruptions += 1;
+        if self.consecutive_interruptions < MAX_CONSECUTIVE_INTERRUPTIONS {
             return Ok(Progress::Pending);
         }
-        Err(Rejection::SnapshotsInterrupted(std::mem::take(&mut self.interruptions)))
+        Err(Rejection::SnapshotsInterrupted(std::mem::take(&mut self.consecutive_interruptions)))
     }
 
-    fn go_on_with_repair(&mut self, step: Result<RepairStep, Rejection>) -> Result<Progress, Rejection> {
+    /// Continues after a step of a repair.
+    fn handle_repair_step(&mut self, step: Result<RepairStep, Rejection>) -> Result<Progress, Rejection> {
         match step {
             Ok(RepairStep::Pending) => Ok(Progress::Pending),
-            Ok(RepairStep::Complete(Repaired { version, digest, changes })) => {
-                self.note_right_digest();
-                self.phase = Phase::Following { hurry: false };
+            Ok(RepairStep::Complete(CompletedRepair { version, digest, changes })) => {
+                self.record_digest_match();
+                self.phase = Phase::Following { poll_immediately: false };
                 Ok(Progress::Applied(self.apply(version, Some(digest), changes, false)))
             }
-            Ok(RepairStep::MovedOn) => {
-                self.end_failed_repair();
+            Ok(RepairStep::ServerAdvanced) => {
+                self.abandon_repair();
                 match self.phase {
-                    Phase::Snapshot(_) => Err(Rejection::RepairsFailed(MOST_FAILED_REPAIRS)),
+                    Phase::Snapshot(_) => Err(Rejection::RepairsFailed(MAX_CONSECUTIVE_FAILED_REPAIRS)),
                     _ => Ok(Progress::Pending),
                 }
             }
-            Err(Rejection::WrongKind) => Err(Rejection::WrongKind),
+            Err(Rejection::UnexpectedResponse) => Err(Rejection::UnexpectedResponse),
             Err(rejection) => {
-                self.end_failed_repair();
+                self.abandon_repair();
                 Err(rejection)
             }
         }
     }
 
-    /// Follows changes again, or begins a snapshot where too many repairs have failed.
-    fn end_failed_repair(&mut self) {
-        self.failed_repairs += 1;
-        self.phase = Phase::Following { hurry: true };
-        if self.failed_repairs >= MOST_FAILED_REPAIRS {
-            self.failed_repairs = 0;
+    /// Returns to following changes, or starts a snapshot if too many consecutive repairs have failed.
+    fn abandon_repair(&mut self) {
+        self.consecutive_failed_repairs += 1;
+        self.phase = Phase::Following { poll_immediately: true };
+        if self.consecutive_failed_repairs >= MAX_CONSECUTIVE_FAILED_REPAIRS {
+            self.consecutive_failed_repairs = 0;
             self.phase = Phase::begin_snapshot();
         }
     }
 
-    fn note_right_digest(&mut self) {
+    /// Records that the digest matched the server's.
+    fn record_digest_match(&mut self) {
         self.is_in_sync = true;
-        self.failed_repairs = 0;
-        self.interruptions = 0;
+        self.consecutive_failed_repairs = 0;
+        self.consecutive_interruptions = 0;
     }
 
-    /// Puts changes in force one by one.
+    /// Applies changes to the active state one by one and returns them as an update.
     fn apply(
         &mut self,
         version: Version,
         digest: Option<Digest>,
         changes: Vec<HashedChange>,
-        more: bool,
+        has_more: bool,
     ) -> Update {
-        changes.iter().for_each(|change| self.held.apply(change));
-        self.held.version = version;
-        self.is_verified = digest.is_some();
-        Update { version, digest, whole: false, changes: without_hashes(changes), more }
+        changes.iter().for_each(|change| self.active.apply(change));
+        self.active.version = version;
+        self.is_version_verified = digest.is_some();
+        Update { version, digest, is_whole_state: false, changes: without_hashes(changes), has_more }
     }
 
-    /// Puts a whole state in force: by its differences where they are few, else as it was staged.
-    fn take_whole_state(&mut self, state: WholeState) -> Update {
-        let WholeState { version, records, changes } = state;
-        self.note_right_digest();
-        self.phase = Phase::Following { hurry: false };
+    /// Makes a snapshot the active state. If it changes at most half as many records as are active, only the changes
+    /// are applied; otherwise the staged records replace the active ones.
+    fn apply_whole_state(&mut self, snapshot: VerifiedSnapshot) -> Update {
+        let VerifiedSnapshot { version, records, changes } = snapshot;
+        self.record_digest_match();
+        self.phase = Phase::Following { poll_immediately: false };
         let digest = Some(records.digest());
         if changes.len() <= self.len() / 2 {
-            return Update { whole: true, ..self.apply(version, digest, changes, false) };
+            return Update { is_whole_state: true, ..self.apply(version, digest, changes, false) };
         }
-        self.held.records = records.compacted();
-        self.held.version = version;
-        self.is_verified = true;
-        Update { version, digest, whole: true, changes: without_hashes(changes), more: false }
+        self.active.records = records.shrunk_to_fit();
+        self.active.version = version;
+        self.is_version_verified = true;
+        Update { version, digest, is_whole_state: true, changes: without_hashes(changes), has_more: false }
     }
 }
 
--- a/crates/pondlb-control/src/store.rs
+++ b/crates/pondlb-control/src/store.rs
@@ -6,54 +6,61 @@
 use serde_json::value::RawValue;
 
 use crate::change_log::ChangeLog;
-use crate::commit::{CommitError, Extent, checked_values, extent_after};
-use crate::digest::{BUCKETS, KeyHash, record_hash};
-use crate::json::escaped_len;
+use crate::commit::{CommitError, StoreSize, size_after, validated_values};
+use crate::digest::{BUCKET_COUNT, KeyHash, record_hash};
+use crate::json::escaped_bytes;
 use crate::record_hashes::RecordHashes;
 use crate::{
-    BucketAnswer, Change, ChangesAnswer, Check, Digest, DigestsAnswer, Key, Kind, Limits, NewChange,
-    SnapshotAnswer, Update, Version,
+    BucketResponse, Change, ChangesResponse, Digest, DigestsResponse, Key, Limits, NewChange, RecordKind,
+    RecordValidator, SnapshotResponse, Update, Version,
 };
 
-/// The most bytes of an answer's JSON beside its changes or records and the key of the next piece.
-const ANSWER_OVERHEAD: usize = 192;
+/// The maximum size in bytes of a response's JSON without its changes or records and the key of the next page.
+const RESPONSE_OVERHEAD_BYTES: usize = 192;
 
-/// The most bytes of a change's JSON beside its key and value.
-const CHANGE_OVERHEAD: usize = 60;
+/// The maximum size in bytes of a change's JSON without its key and value.
+const CHANGE_OVERHEAD_BYTES: usize = 60;
 
-/// All records at a control server: the origin numbers changes with it, a replica server keeps up with the origin.
+/// All records of a control server. The store of the origin numbers the changes that are committed to it; the store of
+/// a replica server applies the updates that its replica has received.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
-    /// Whether it numbers changes itself.
+    /// Whether the store numbers changes itself.
     is_origin: bool,
+    /// The version of the last change.
     version: Version,
-    /// Whether no piece of changes is missing up to the version.
-    is_complete: bool,
+    /// Whether the store has the complete state of its version, not only some of the pages of changes that lead to it.
+    is_at_complete_version: bool,
     records: BTreeMap<Key, Record>,
-    bytes: usize,
-    hashes: RecordHashes,
-    log: ChangeLog,
+    /// The bytes of all keys and values.
+    total_bytes: usize,
+    /// The hashes of the records, for digests.
+    record_hashes: RecordHashes,
+    /// The changes that followers can be sent without a snapshot.
+    change_log: ChangeLog,
 }
 
 #[derive(Debug)]
 struct Record {
+    /// The revision that set the record.
     revision: u64,
+    /// The JSON text of the value, without whitespace.
     value: Box<RawValue>,
 }
 
 impl Store {
-    /// An empty store: the origin's in an epoch of its own, or a replica server's in epoch 0.
+    /// Creates an empty store: that of an origin with its own epoch, or that of a replica server with epoch 0.
     pub fn new(epoch: u64, limits: Limits) -> Store {
         Store {
             limits,
             version: Version { epoch, revision: 0 },
             is_origin: epoch != 0,
-            is_complete: true,
+            is_at_complete_version: true,
             records: BTreeMap::new(),
-            bytes: 0,
-            hashes: RecordHashes::new(),
-            log: ChangeLog::new(limits.tombstones),
+            total_bytes: 0,
+            record_hashes: RecordHashes::new(),
+            change_log: ChangeLog::new(limits.max_tombstones),
         }
     }
 
@@ -64,169 +71,181 @@
 
     /// The digest of all records.
     pub fn digest(&self) -> Digest {
-        self.hashes.digest()
+        self.record_hashes.digest()
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The keys of all records of one kind.
-    pub fn keys(&self, kind: Kind) -> impl Iterator<Item = &Key> {
+    /// The keys of all records of one kind, in ascending order.
+    pub fn keys(&self, kind: RecordKind) -> impl Iterator<Item = &Key> {
         let records = self.records.range::<str, _>((Bound::Included(kind.prefix()), Bound::Unbounded));
         records.map(|(key, _)| key).take_while(move |key| key.kind() == kind)
     }
 
-    /// Bytes of all keys and values.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// The bytes of all keys and values.
+    pub fn total_bytes(&self) -> usize {
+        self.total_bytes
     }
 
-    /// Numbers and takes changes, all or none. The texts of values are freed of white space; from then on they travel
-    /// unchanged.
+    /// Numbers and applies changes, all or none of them. Whitespace is removed from the JSON text of values, which from
+    /// then on is passed on unchanged.
     ///
     /// # Errors
-    /// [`CommitError`] where the limits or the checker don't allow one of them.
-    pub fn commit(&mut self, changes: &[NewChange], check: &Check<'_>) -> Result<Version, CommitError> {
+    /// [`CommitError`] if this is not the store of an origin, or the limits or the validator do not allow one of the
+    /// changes.
+    pub fn commit(
+        &mut self,
+        changes: &[NewChange],
+        validate: &RecordValidator<'_>,
+    ) -> Result<Version, CommitError> {
         if !self.is_origin {
-            return Err(CommitError::NoEpoch);
+            return Err(CommitError::NotOrigin);
         }
-        let values = checked_values(changes, &self.limits, check)?;
-        let extent = Extent { records: self.len(), bytes: self.bytes };
-        extent_after(extent, changes, &values, |key| self.value_len(key)).keep(&self.limits)?;
+        let values = validated_values(changes, &self.limits, validate)?;
+        let size = StoreSize { records: self.len(), bytes: self.total_bytes };
+        size_after(size, changes, &values, |key| self.value_bytes(key)).verify_within(&self.limits)?;
         for (change, value) in changes.iter().zip(values) {
             self.version.revision += 1;
-            self.put(&change.key, value, self.version.revision);
+            self.put_record(&change.key, value, self.version.revision);
         }
         Ok(self.version)
     }
 
-    /// Takes what a replica has verified, with its revisions and epoch. An update that is older than what is held
-    /// changes nothing.
-    pub fn replicate(&mut self, update: &Update) {
+    /// Applies an update of a replica with its epoch and revisions. An update that is older than the store's version is
+    /// ignored.
+    pub fn apply_update(&mut self, update: &Update) {
         if update.version < self.version {
             return;
         }
         self.version = update.version;
         for Change { revision, key, value } in &update.changes {
-            self.put(key, value.clone(), (*revision).min(update.version.revision));
+            self.put_record(key, value.clone(), (*revision).min(update.version.revision));
         }
-        if update.whole {
-            self.forget_changes();
+        if update.is_whole_state {
+            self.reset_change_log();
         }
-        self.is_complete = update.digest.is_some();
+        self.is_at_complete_version = update.digest.is_some();
     }
 
-    /// What is newer than a caller's version, in at most so many bytes (but one change at least).
-    pub fn changes(&self, from: Version, most_bytes: usize) -> ChangesAnswer {
-        let mut answer = ChangesAnswer {
+    /// The changes since a follower's version, at least one and then as many as fit into `max_bytes` of JSON.
+    pub fn changes_since(&self, from: Version, max_bytes: usize) -> ChangesResponse {
+        let mut response = ChangesResponse {
             version: self.version,
-            from: from.revision,
+            from_revision: from.revision,
             reset: false,
-            more: false,
+            has_more: false,
             digest: None,
             stale_ms: 0,
             changes: Vec::new(),
         };
-        let is_known = from.epoch == self.version.epoch && self.log.is_complete_from(from.revision);
-        answer.reset = from < self.version && !is_known;
+        let is_known = from.epoch == self.version.epoch && self.change_log.is_complete_since(from.revision);
+        response.reset = from < self.version && !is_known;
         if is_known && from < self.version {
-            self.fill_changes(&mut answer, most_bytes);
+            self.fill_changes(&mut response, max_bytes);
         }
-        answer.digest = Some(self.digest()).filter(|_| self.is_complete && !answer.more && !answer.reset);
-        answer
+        response.digest = Some(self.digest())
+            .filter(|_| self.is_at_complete_version && !response.has_more && !response.reset);
+        response
     }
 
-    /// The records behind a key, or the first ones, in at most so many bytes (but one record at least).
-    pub fn snapshot(&self, after: Option<&Key>, most_bytes: usize) -> SnapshotAnswer {
-        let mut answer = SnapshotAnswer { version: self.version, records: Vec::new(), next: None };
-        let mut bytes = ANSWER_OVERHEAD;
+    /// The records after a key, or the first ones: at least one and then as many as fit into `max_bytes` of JSON.
+    pub fn snapshot_page(&self, after: Option<&Key>, max_bytes: usize) -> SnapshotResponse {
+        let mut response = SnapshotResponse { version: self.version, records: Vec::new(), next_after: None };
+        let mut bytes = RESPONSE_OVERHEAD_BYTES;
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         for (key, record) in self.records.range::<Key, _>((start, Bound::Unbounded)) {
-            let key_bytes = escaped_len(key.as_str());
-            bytes += encoded_len(key, Some(&record.value));
-            if bytes + key_bytes > most_bytes && !answer.records.is_empty() {
-                answer.next = answer.records.last().map(|last| last.key.clone());
+            let key_bytes = escaped_bytes(key.as_str());
+            bytes += encoded_change_bytes(key, Some(&record.value));
+            if bytes + key_bytes > max_bytes && !response.records.is_empty() {
+                response.next_after = response.records.last().map(|last| last.key.clone());
                 break;
             }
-            answer.records.push(record.as_change(key));
+            response.records.push(record.as_change(key));
         }
-        answer
+        response
     }
 
     /// The digests of all buckets.
-    pub fn digests(&self) -> DigestsAnswer {
-        DigestsAnswer { version: self.version, buckets: self.hashes.bucket_digests().collect() }
+    pub fn bucket_digests(&self) -> DigestsResponse {
+        DigestsResponse { version: self.version, buckets: self.record_hashes.bucket_digests().collect() }
     }
 
-    /// Whether there is a bucket of this number.
+    /// Whether there is a bucket with this number.
     pub fn has_bucket(&self, bucket: usize) -> bool {
-        bucket < BUCKETS
+        bucket < BUCKET_COUNT
     }
 
-    /// All records of one bucket; none where there is no such bucket.
-    pub fn bucket(&self, bucket: usize) -> Option<BucketAnswer> {
-        let keys = self.hashes.bucket_keys(bucket)?.into_iter();
+    /// All records of one bucket; `None` if there is no such bucket.
+    pub fn bucket_records(&self, bucket: usize) -> Option<BucketResponse> {
+        let keys = self.record_hashes.bucket_keys(bucket)?.into_iter();
         let records = keys.filter_map(|key| self.records.get(key).map(|record| record.as_change(key)));
-        Some(BucketAnswer { version: self.version, bucket, records: records.collect() })
+        Some(BucketResponse { version: self.version, bucket, records: records.collect() })
     }
 
-    fn fill_changes(&self, answer: &mut ChangesAnswer, most_bytes: usize) {
-        let mut bytes = ANSWER_OVERHEAD;
-        for (revision, key) in self.log.since(answer.from) {
+    /// Adds the changes since the response's `from_revision` and adjusts its version if not all of them fit.
+    fn fill_changes(&self, response: &mut ChangesResponse, max_bytes: usize) {
+        let mut bytes = RESPONSE_OVERHEAD_BYTES;
+        for (revision, key) in self.change_log.changes_since(response.from_revision) {
             let value = self.records.get(key).map(|record| &record.value);
-            bytes += encoded_len(key, value.map(Box::as_ref));
-            if let Some(last) = answer.changes.last().filter(|_| bytes > most_bytes) {
-                answer.version.revision = last.revision;
-                answer.more = true;
+            bytes += encoded_change_bytes(key, value.map(Box::as_ref));
+            if let Some(last) = response.changes.last().filter(|_| bytes > max_bytes) {
+                response.version.revision = last.revision;
+                response.has_more = true;
                 return;
             }
-            answer.changes.push(Change { revision, key: key.clone(), value: value.cloned() });
+            response.changes.push(Change { revision, key: key.clone(), value: value.cloned() });
         }
     }
 
-    fn value_len(&self, key: &Key) -> Option<usize> {
+    /// The length of a record's value in bytes, if there is such a record.
+    fn value_bytes(&self, key: &Key) -> Option<usize> {
         self.records.get(key).map(|record| record.value.get().len())
     }
 
-    fn put(&mut self, key: &Key, value: Option<Box<RawValue>>, revision: u64) {
+    /// Sets a record, or removes it if `value` is `None`.
+    fn put_record(&mut self, key: &Key, value: Option<Box<RawValue>>, revision: u64) {
         let key_bytes = key.as_str().len();
         let Some(value) = value else {
             let removed = self.records.remove(key);
-            self.bytes -= removed.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
-            self.hashes.remove(key, KeyHash::of(key));
-            self.log.remove(key, revision, removed.map(|record| record.revision));
+            self.total_bytes -= removed.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
+            self.record_hashes.remove(key, KeyHash::of(key));
+            self.change_log.record_removal(key, revision, removed.map(|record| record.revision));
             return;
         };
-        self.hashes.set(key, KeyHash::of(key), record_hash(key, value.get()), Key::clone);
-        self.bytes += key_bytes + value.get().len();
-        let before = self.records.insert(key.clone(), Record { revision, value });
-        self.bytes -= before.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
-        self.log.set(key, revision, before.map(|record| record.revision));
-    }
-
-    /// After a whole new state: which change removed a record is unknown, and revisions of an older epoch say nothing.
-    fn forget_changes(&mut self) {
-        let newest = self.version.revision;
-        self.log.clear(newest);
+        self.record_hashes.set(key, KeyHash::of(key), record_hash(key, value.get()), Key::clone);
+        self.total_bytes += key_bytes + value.get().len();
+        let replaced = self.records.insert(key.clone(), Record { revision, value });
+        self.total_bytes -= replaced.as_ref().map_or(0, |record| key_bytes + record.value.get().len());
+        self.change_log.record_set(key, revision, replaced.map(|record| record.revision));
+    }
+
+    /// Clears the change log after a complete new state: it is unknown which changes removed records, and the revisions
+    /// of an older epoch have no meaning in the new one.
+    fn reset_change_log(&mut self) {
+        let newest_revision = self.version.revision;
+        self.change_log.clear(newest_revision);
         for record in self.records.values_mut() {
-            record.revision = record.revision.min(newest);
+            record.revision = record.revision.min(newest_revision);
         }
     }
 }
 
 impl Record {
+    /// The record in the form of a change that sets it.
     fn as_change(&self, key: &Key) -> Change {
         Change { revision: self.revision, key: key.clone(), value: Some(self.value.clone()) }
     }
 }
 
-fn encoded_len(key: &Key, value: Option<&RawValue>) -> usize {
-    CHANGE_OVERHEAD + escaped_len(key.as_str()) + value.map_or(0, |value| value.get().len())
+/// An upper bound on the size of a change in a response's JSON.
+fn encoded_change_bytes(key: &Key, value: Option<&RawValue>) -> usize {
+    CHANGE_OVERHEAD_BYTES + escaped_bytes(key.as_str()) + value.map_or(0, |value| value.get().len())
 }
