--- a/crates/pondlb-control/src/message.rs
+++ b/crates/pondlb-control/src/message.rs
@@ -109,7 +109,7 @@
 /// The digests of all buckets, in response to [`ReplicaRequest::Digests`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DigestsResponse {
-    /// The version at which they hold.
+    /// The server's version when the digests were read.
     #[serde(flatten)]
     pub version: Version,
     /// One digest per bucket, in the order of the buckets.
@@ -119,7 +119,7 @@
 /// All records of one bucket, in response to [`ReplicaRequest::Bucket`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BucketResponse {
-    /// The version at which they hold.
+    /// The server's version when the records were read.
     #[serde(flatten)]
     pub version: Version,
     /// The number of the bucket.
--- a/crates/pondlb-control/src/rotation.rs
+++ b/crates/pondlb-control/src/rotation.rs
@@ -10,8 +10,7 @@
 /// The upper bound of the maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// The number of doublings after which the maximum backoff is no longer computed, to avoid an overflow. It has reached
-/// [`MAX_BACKOFF`] by then.
+/// The maximum number of doublings that are computed, to avoid an overflow. [`MAX_BACKOFF`] is reached with fewer.
 const MAX_BACKOFF_DOUBLINGS: usize = 16;
 
 /// Spreads the seeds of callers with consecutive numbers over all bits: 2^64 divided by the golden ratio.
@@ -34,6 +33,7 @@
     position: usize,
     /// The number of failed calls since the last successful one.
     consecutive_failures: usize,
+    /// The source of the server order and of jitter in delays.
     random: WyRand,
 }
 
--- a/crates/pondlb-control/tests/updates.rs
+++ b/crates/pondlb-control/tests/updates.rs
@@ -99,6 +99,21 @@
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
 }
 
+#[test]
+fn pages_have_documented_json() {
+    let store = filled_store(1, 2);
+    let changes = store.changes_since(Version { epoch: 1, revision: 0 }, 1);
+    let text = serde_json::to_string(&changes).unwrap();
+    expect![[r#"{"epoch":1,"revision":1,"from":0,"reset":false,"more":true,"digest":null,"stale_ms":0,"changes":[{"revision":1,"key":"upstream/s-00000","value":[0]}]}"#]].assert_eq(&text);
+    let read: ChangesResponse = serde_json::from_str(&text).unwrap();
+    assert_eq!((read.from_revision, read.has_more), (0, true));
+
+    let text = serde_json::to_string(&store.snapshot_page(None, 1)).unwrap();
+    expect![[r#"{"epoch":1,"revision":2,"records":[{"revision":2,"key":"class/s-00001","value":[1]}],"next":"class/s-00001"}"#]].assert_eq(&text);
+    let read: SnapshotResponse = serde_json::from_str(&text).unwrap();
+    assert_eq!(read.next_after, Some(key(1)));
+}
+
 #[test]
 fn rejects_malformed_responses() {
     let texts = [
