--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! What a front end tells a balancer (`Event`) and what the balancer has it do (`Action`).
+//! The input of a balancer ([`Event`]) and its output ([`Action`]).
 
 use std::fmt;
 use std::rc::Rc;
@@ -10,204 +10,231 @@
 /// The id of an upstream in discovery's list.
 pub type UpstreamId = Rc<str>;
 
-/// What has happened.
+/// Something that the front end has observed.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery has answered, or failed to.
+    /// A call to discovery has ended, with or without a list.
     ListUpdate(ListUpdate),
-    /// The list was right at that time, by discovery's word, or nobody could reach discovery then. A front end that never
-    /// says so is trusted to bring each change in time.
+    /// The list was correct at time `at`: discovery confirmed it, or discovery was unreachable for all balancers then,
+    /// so that no change can have been announced. A front end that never sends this event is trusted to deliver each
+    /// change of the list in time.
     ListConfirmed { at: TenthMillis },
-    /// Discovery is at another address from now on.
+    /// Discovery has another address from now on.
     DiscoveryAddressChanged,
     /// A client has sent a request.
     RequestArrived(Arrival),
-    /// An attempt has ended, numbered within its request from 0.
+    /// An attempt has ended.
     AttemptEnded {
         request: RequestId,
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
         upstream: UpstreamId,
         outcome: Outcome,
+        /// The time from the [`Action::Attempt`] to the end of the attempt.
         duration: TenthMillis,
-        /// The request has had its final answer, by this outcome or earlier.
+        /// Whether the request has its final answer, by this attempt or an earlier one.
         answered: bool,
+        /// The load that the upstream reported with its answer.
         load: Load,
     },
-    /// The client has left; nothing is owed any more.
+    /// The client has disconnected; its request needs no answer any more.
     ClientDisconnected { request: RequestId },
-    /// An upstream was asked for its load.
+    /// A probe of an upstream's load has ended.
     ProbeEnded { upstream: UpstreamId, outcome: Outcome, duration: TenthMillis, load: Load },
-    /// The time of an `Action::Wake` has come.
+    /// A timer of [`Action::SetTimer`] has expired.
     TimerFired { token: String },
-    /// A peer's note.
+    /// Another balancer has sent a message.
     PeerMessage { peer: u32, message: Vec<u8> },
 }
 
-/// A request that has arrived.
+/// A request that a client has sent.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub request: RequestId,
-    /// Index among the classes of the terms.
+    /// Index among [`BalancerConfig::classes`](crate::BalancerConfig::classes).
     pub class: u32,
-    /// Index among the tenants of the terms.
+    /// Index among [`BalancerConfig::tenants`](crate::BalancerConfig::tenants).
     pub tenant: u32,
-    /// What an upstream may keep warm between requests that have it in common.
+    /// Requests with the same key need the same data, which an upstream may keep in memory between them.
     pub affinity_key: Option<u64>,
-    /// The time to its deadline.
+    /// The time left until the client's deadline.
     pub time_left: TenthMillis,
-    /// The expected work, in time of a standard core.
+    /// The expected work, as processing time on a standard core.
     pub cost: Option<TenthMillis>,
-    /// The client has sent it before.
+    /// Whether the client has sent the request before.
     pub is_retry: bool,
+    /// Whether the request changes stored data.
     pub is_write: bool,
 }
 
-/// What came of asking discovery for the list of upstreams.
+/// The result of a call to discovery for the list of upstreams.
 #[derive(Clone, Debug)]
 pub enum ListUpdate {
-    /// Entries that are new or other than before.
+    /// The entries that are new or have changed.
     Changes(Rc<[UpstreamEntry]>),
-    /// All entries.
+    /// All entries; an upstream that is missing is gone.
     Snapshot(Rc<[UpstreamEntry]>),
-    /// The list as this balancer last held it before its start; it may be old.
+    /// All entries as this balancer stored them before its restart; they may be out of date.
     Restored(Rc<[UpstreamEntry]>),
-    /// An ask was turned away, or what came is no list; the last list stays in force.
+    /// The call was refused, or its answer is not a valid list. The last list stays in force.
     Refused,
-    /// Nobody answered an ask, or its connection broke; as above. That takes up nobody's time there.
+    /// Discovery could not be reached, or the connection broke. The last list stays in force. Such a call takes no
+    /// processing time from the list service, unlike a refused one.
     Unreachable,
-    /// A watch was not answered though its wait is over; as above.
+    /// A watch was not answered within its timeout. The last list stays in force.
     WatchTimedOut,
 }
 
-/// An upstream as the list has it.
+/// An upstream in discovery's list.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamEntry {
     pub upstream: UpstreamId,
     pub cell: u32,
+    /// When its process started, where discovery knows it; the upstream is cold for some time from then on.
     pub started_at: Option<TenthMillis>,
+    /// Speed as a multiple of a standard upstream's.
     pub capacity: f64,
     pub zone: u32,
-    /// Upstreams of one kind are machines alike.
+    /// The kind of machine; upstreams of one kind are equally fast for equal capacity.
     pub kind: u32,
     pub stage: Stage,
 }
 
+/// The stage of an upstream's life. Logs contain the names of the variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
+    /// It takes requests.
     Live,
+    /// It still answers what was sent to it, but nothing new may be sent.
     Draining,
+    /// It is not listed any more.
     #[default]
     Gone,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a probe ended. Logs and metrics contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
+    /// The upstream answered with success.
     Ok,
+    /// The upstream answered with an error.
     Error,
+    /// The upstream's queue is full; it did not run the request.
     Full,
+    /// No answer came within the attempt's timeout.
     TimedOut,
+    /// No connection could be opened.
     ConnectFailed,
+    /// The connection was closed before an answer came.
     Reset,
-    /// What came is no answer; the upstream lives and may have run the request.
+    /// The answer was malformed. The upstream is alive and may have run the request.
     Spoilt,
+    /// The balancer cancelled the attempt.
     Cancelled,
+    /// The attempt or probe was never sent: it could not leave in time, or the upstream's address is unknown.
     Moot,
 }
 
 impl Outcome {
-    /// Whether the attempt is known never to have run.
+    /// Whether the upstream has certainly not run the request.
     pub const fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
     }
 }
 
-/// What an upstream says of itself; late and noisy.
+/// The load that an upstream reports of itself. Reports are late and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
+    /// The requests that it has not answered yet, queued ones included.
     pub in_flight: Option<f64>,
-    /// How many of these wait for their turn.
+    /// The requests that wait in its queue.
     pub queued: Option<f64>,
-    /// Its recent time of service, waiting left out.
+    /// The mean time of its recent requests, without their time in the queue.
     pub service_time: Option<TenthMillis>,
 }
 
 impl Load {
-    /// What can't be true is left out: nothing is to be steered by it.
-    pub fn from_report(held: Option<f64>, waiting: Option<f64>, service_ms: Option<f64>) -> Self {
-        let sane = |value: &f64| (0.0..=MAX_PLAUSIBLE_REPORT).contains(value);
-        let held = held.filter(sane);
-        let waiting = waiting.filter(sane).filter(|waiting| held.is_none_or(|held| *waiting <= held));
-        Load {
-            in_flight: held,
-            queued: waiting,
-            service_time: service_ms.filter(sane).map(|ms| (ms * 10.0).round() as TenthMillis),
-        }
+    /// The load from the values of a report. Implausible values are dropped, so that no decision relies on them: those
+    /// that are negative, not a number or too high, and a queue that is longer than the requests in flight.
+    pub fn from_report(in_flight: Option<f64>, queued: Option<f64>, service_time_ms: Option<f64>) -> Self {
+        let is_plausible = |value: &f64| (0.0..=MAX_PLAUSIBLE_REPORT).contains(value);
+        let in_flight = in_flight.filter(is_plausible);
+        let queued = queued
+            .filter(is_plausible)
+            .filter(|queued| in_flight.is_none_or(|in_flight| *queued <= in_flight));
+        let service_time = service_time_ms.filter(is_plausible).map(|ms| (ms * 10.0).round() as TenthMillis);
+        Load { in_flight, queued, service_time }
     }
 }
 
-/// More than this nobody holds.
+/// The highest plausible value of a report, for numbers of requests and for milliseconds.
 const MAX_PLAUSIBLE_REPORT: f64 = 1e6;
 
-/// As it goes on in a line of the log, empty where nothing was said.
+/// Continues a line of the log; empty where nothing was reported.
 impl fmt::Display for Load {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        self.in_flight.map_or(Ok(()), |held| write!(to, ", it holds {held}"))?;
-        self.queued.map_or(Ok(()), |waiting| write!(to, ", {waiting} wait"))?;
-        self.service_time.map_or(Ok(()), |service| write!(to, ", it takes {service}"))
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        self.in_flight.map_or(Ok(()), |in_flight| write!(f, ", {in_flight} in flight"))?;
+        self.queued.map_or(Ok(()), |queued| write!(f, ", {queued} queued"))?;
+        self.service_time.map_or(Ok(()), |time| write!(f, ", service time {time}"))
     }
 }
 
-/// Why a request is given up.
+/// Why a request is rejected or failed. Logs and metrics contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
     /// No upstream is listed as live.
     NoUpstream,
-    /// The list has not been confirmed for so long that an upstream may have been draining for longer than the grace.
+    /// The list has not been confirmed for so long that an upstream may have been draining for longer than its grace.
     StaleList,
-    /// The time in which it may be repeated is over.
+    /// The time in which upstreams recognize a repeat of the request is over.
     WindowOver,
-    /// Its work would take longer than it has time.
+    /// The expected work takes longer than the time left.
     TooLong,
     /// Too little time is left for an answer.
     NoTimeLeft,
-    /// More is held than will be served in time, and it is worth least.
+    /// More requests wait than can be served in time, and this one has the lowest value.
     Overload,
-    /// The upstream that would get it has told of too long a queue.
+    /// The upstream chosen for it reports a queue too long to answer in time.
     ForeseenLate,
     /// Its attempts have failed, and it may not be sent again.
     AttemptsFailed,
 }
 
-/// What a front end is to do.
+/// Something that the front end has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to the upstream, but not after `begin_by`, whatever it waits for by then; give the attempt up
-    /// after `timeout`.
+    /// Send the request to the upstream.
     Attempt {
         request: RequestId,
         upstream: UpstreamId,
+        /// End the attempt with [`Outcome::TimedOut`] after this duration.
         timeout: Option<TenthMillis>,
+        /// Don't start sending after this time, whatever has delayed the attempt until then.
         send_by: Option<TenthMillis>,
     },
     /// Ask an upstream for its load.
     Probe { upstream: UpstreamId },
-    /// Send a note to one peer or to all.
+    /// Send a message to one balancer, or to all others where none is named.
     SendToPeer { peer: Option<u32>, message: Vec<u8> },
-    /// Ask discovery for the list, and for its changes from then on.
+    /// Ask discovery for the list and for its changes from then on, or stop watching.
     WatchList { enabled: bool },
-    /// Ask discovery for the whole list.
+    /// Ask discovery once for the whole list.
     FetchList,
-    /// Give up an attempt that is out.
+    /// Cancel an attempt that has no outcome yet.
     Cancel { request: RequestId, attempt: u32 },
-    /// Answer that the request came to nothing, though it may have run.
+    /// Answer the client that the request failed, though it may have run.
     Fail { request: RequestId, reason: GiveUpReason },
-    /// Answer that the request has had no effect, and when the client may come again.
-    Reject { request: RequestId, retry_after: Option<TenthMillis>, reason: GiveUpReason },
+    /// Answer the client that the request has had no effect.
+    Reject {
+        request: RequestId,
+        /// The advice to the client how long to wait before a retry.
+        retry_after: Option<TenthMillis>,
+        reason: GiveUpReason,
+    },
     /// Close the idle connections to an upstream.
     CloseIdleConnections { upstream: UpstreamId },
     /// Write a line to the log.
     Log { text: String },
-    /// Call again after that time, with or without events.
+    /// Call the balancer again after this duration, with or without events.
     SetTimer { token: &'static str, after: TenthMillis },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a load balancer, apart from every protocol.
+//! The decisions of an HTTP load balancer, without I/O, protocols or a clock.
 //!
-//! A front end turns what it sees into [`Event`]s, hands a batch of them to a [`Balancer`] and carries
-//! out the [`Action`]s that come back. All decisions are in `balance`; the other files hold the types that go
-//! in and out.
+//! A front end translates what it observes into [`Event`]s, passes them in batches to a [`Balancer`] and carries out the
+//! [`Action`]s that the balancer returns. The module `balance` makes all decisions; the other modules hold the types of
+//! its input and output.
 
 mod balance;
 mod event;
