--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,210 +1,268 @@
-//! All decisions of the balancer: events in, actions out, no I/O and no clock. docs/design.md explains them.
+//! All decisions of the balancer: events in, actions out, without I/O or a clock. docs/design.md explains them.
 
-use histogram::Histogram;
 use nanorand::WyRand;
 
 use crate::{
-    Action, Arrival, BalancerConfig, Event, GiveUpReason, Load, Outcome, Stage, TenthMillis, UpstreamEntry,
+    Action, Arrival, BalancerConfig, Event, GiveUpReason, Load, Outcome, RequestId, Stage, TenthMillis,
+    UpstreamEntry,
 };
 
+mod balancer;
 mod discovery;
 mod dispatch;
 mod estimate;
 mod lease;
 mod queue;
-mod shell;
 mod subset;
 mod upstream;
 
-use estimate::{Decaying, Estimate, Pace, REST_PACE, WINDOW_OUTCOMES};
+pub use balancer::{Balancer, TrackedCounts};
+use estimate::{CostStats, DecayingLevel, MAX_COST, MAX_UNLOADED_PACE, Pace, ResponseTimes};
 use lease::ListLease;
-use queue::{Attempt, Queue, Request};
-pub use shell::{Balancer, TrackedCounts};
+use queue::{Alarm, AlarmKind, Attempt, ProbeRound, Queue, Request, RequestNumber};
 use subset::Fleet;
-use upstream::{ANSWER_LOWERS, EJECTED, FADE, Upstream, Zone};
+use upstream::{ANSWER_SCORE_FACTOR, EJECTION_SCORE, OUTLIER_HALF_LIFE, Upstream, UpstreamIndex, Zone};
 
 const SECOND: TenthMillis = 10_000;
 
-/// The halving time of what flows: with it a level is the sum over ten seconds.
-const LONG: TenthMillis = 7 * SECOND;
-const PACE_WINDOW: f64 = 32.0;
-const FEW_ANSWERS: f64 = 4.0;
-/// A hint of more, 28 minutes, can't be true; the bins of costs end there.
-const MOST_COST: TenthMillis = (1 << 24) - 1;
-/// What is listed beyond these can't be true, and one answer from there would spoil the pace of all.
-const LEAST_SIZE: f64 = 0.01;
-const MOST_SIZE: f64 = 1e4;
+/// The half-life of rates. A level that decays with it is about the sum over `RATE_WINDOW`.
+const RATE_HALF_LIFE: TenthMillis = 7 * SECOND;
+const RATE_WINDOW: TenthMillis = 10 * SECOND;
+/// The number of samples in a running mean over many upstreams.
+const RUNNING_MEAN_SAMPLES: f64 = 32.0;
+/// The bounds of plausible capacities. A single answer from an upstream with any other would distort the pace of all.
+const MIN_CAPACITY: f64 = 0.01;
+const MAX_CAPACITY: f64 = 1e4;
 
-/// Further attempts while one is out, for each request served in time, and how many may be saved up.
-const EXTRA_SHARE: f64 = 0.1;
-const EXTRA_SAVED: f64 = 4.0;
+/// The hedge budget pays for further attempts while one is in flight: what each request served in time adds, and how much
+/// can be saved up.
+const HEDGES_PER_TIMELY_REQUEST: f64 = 0.1;
+const MAX_HEDGE_BUDGET: f64 = 4.0;
 
+/// The state of a balancer, and its reactions to events.
 struct Dispatcher {
-    terms: BalancerConfig,
+    config: BalancerConfig,
     rng: WyRand,
-    estimate: Estimate,
+    response_times: ResponseTimes,
     fleet: Fleet,
     queue: Queue,
-    costs: Histogram,
-    extra: f64,
-    quotas: Vec<(f64, TenthMillis)>,
-    highest_value: f64,
+    /// The number of hedges that may be sent.
+    hedge_budget: f64,
+    /// By the index of the tenant.
+    quotas: Vec<QuotaBucket>,
+    /// The highest value of a class.
+    max_class_value: f64,
     lease: ListLease,
 }
 
+/// The token bucket of one tenant's quota, which holds the tokens of one second.
+#[derive(Clone, Default)]
+struct QuotaBucket {
+    tokens: f64,
+    refilled_at: TenthMillis,
+}
+
+/// An attempt that has ended.
+struct EndedAttempt {
+    request: RequestId,
+    /// Number of the attempt within its request.
+    attempt: u32,
+    upstream: UpstreamIndex,
+    outcome: Outcome,
+    duration: TenthMillis,
+    /// Whether the request has its final answer.
+    answered: bool,
+}
+
 impl Dispatcher {
-    fn new(terms: BalancerConfig, rng: WyRand) -> Self {
-        let (estimate, quotas) = (Estimate::new(&terms), vec![(0.0, 0); terms.tenants.len()]);
-        let costs = Histogram::new(3, 24).expect("the bins are fixed");
-        let (fleet, queue) = (Fleet { cores: 1.0, ..Fleet::default() }, Queue::default());
-        let (extra, highest_value, lease) = (EXTRA_SAVED, terms.max_class_value(), ListLease::default());
-        Dispatcher { estimate, quotas, terms, rng, fleet, queue, costs, extra, highest_value, lease }
+    fn new(config: BalancerConfig, rng: WyRand) -> Self {
+        Dispatcher {
+            response_times: ResponseTimes::new(&config),
+            quotas: vec![QuotaBucket::default(); config.tenants.len()],
+            fleet: Fleet::new(),
+            queue: Queue::default(),
+            hedge_budget: MAX_HEDGE_BUDGET,
+            max_class_value: config.max_class_value(),
+            lease: ListLease::default(),
+            config,
+            rng,
+        }
     }
 
-    fn receive(&mut self, now: TenthMillis, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: TenthMillis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::RequestArrived(arrival) => self.arrive(now, arrival, out),
-            Event::AttemptEnded { request, attempt, upstream, outcome, duration: took, answered, load } => {
-                let Some(&up) = self.fleet.names.get(&upstream) else { return };
-                if self.terms.probing && (load.in_flight.is_some() || outcome == Outcome::Full) {
-                    let told = if outcome == Outcome::Full { outcome } else { Outcome::Ok };
-                    self.report(now, up, told, load);
-                }
-                let zone = self.fleet.zones.entry(self.fleet.board[up].entry.zone).or_default();
-                // Lost with its zone, it says nothing of how long answers take, nor of a jam.
-                let lost = outcome == Outcome::TimedOut && zone.answered < now.saturating_sub(took);
-                if matches!(outcome, Outcome::Ok | Outcome::TimedOut) && !lost {
-                    self.estimate.took(now, took);
-                }
-                let number = self.queue.numbers.get(&request).copied();
-                let request = number.and_then(|n| self.queue.requests.get(&n));
-                let (cost, sla) =
-                    request.map_or((self.fleet.mean_cost(), 0), |r| (r.cost, r.sla_end - r.arrived));
-                self.fleet.note_out(now, -1.0);
-                if matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Full) && !lost {
-                    let waited = took as f64 - REST_PACE * cost;
-                    self.fleet.make_room(2.0 * waited > sla as f64 || outcome == Outcome::Full, &self.terms);
+            Event::RequestArrived(arrival) => self.handle_arrival(now, arrival, actions),
+            Event::AttemptEnded { request, attempt, upstream, outcome, duration, answered, load } => {
+                let Some(&upstream) = self.fleet.index_by_id.get(&upstream) else { return };
+                if self.config.probing && (load.in_flight.is_some() || outcome == Outcome::Full) {
+                    let reported = if outcome == Outcome::Full { outcome } else { Outcome::Ok };
+                    self.record_report(now, upstream, reported, load);
                 }
-                let upstream = &mut self.fleet.board[up];
-                let entry = &upstream.entry;
-                let size = entry.capacity.clamp(LEAST_SIZE, MOST_SIZE);
-                let (zone, work) = (self.fleet.zones.entry(entry.zone).or_default(), cost / size);
-                // Else a small request's way there and back would pass for overload of its upstream.
-                let way = zone.pace.least;
-                if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
-                    zone.unanswered(now, now.saturating_sub(took));
-                }
-                if outcome == Outcome::Ok {
-                    zone.answered = now;
-                    zone.outlier_score.level *= ANSWER_LOWERS;
-                    zone.pace.note(took, work, PACE_WINDOW);
-                    self.fleet.pace.note(took, cost + way, PACE_WINDOW);
-                    self.fleet.listed.note(took, work + way, PACE_WINDOW);
-                    self.fleet.kinds.entry(entry.kind).or_default().note(took, work + way, PACE_WINDOW);
-                }
-                upstream.returned(cost);
-                upstream.end(now, outcome, took, cost + way, self.estimate.tp, &self.terms);
-                let Some(number) = number else { return };
-                let Some(request) = self.queue.requests.get_mut(&number) else { return };
-                if let Some(a) = request.attempts.get_mut(attempt as usize) {
-                    (a.out, a.may_have_run) = (false, !outcome.never_ran());
-                }
-                if !answered {
-                    return self.failed(now, number, out);
-                }
-                if outcome == Outcome::Ok {
-                    let earned = if now <= request.sla_end { EXTRA_SHARE } else { 0.0 };
-                    self.extra = (self.extra + earned).min(EXTRA_SAVED);
-                    self.fleet.flow.add(now, LONG, request.cost / (10 * SECOND) as f64);
-                }
-                self.close(number, out);
+                let ended = EndedAttempt { request, attempt, upstream, outcome, duration, answered };
+                self.handle_attempt_ended(now, &ended, actions);
             }
             Event::ClientDisconnected { request } => {
-                let Some(&number) = self.queue.numbers.get(&request) else { return };
-                self.close(number, out);
+                let Some(&number) = self.queue.number_by_id.get(&request) else { return };
+                self.close_request(number, actions);
             }
             Event::ProbeEnded { upstream, outcome, load, .. } => {
-                if let Some(&up) = self.fleet.names.get(&upstream) {
-                    self.report(now, up, outcome, load);
+                if let Some(&index) = self.fleet.index_by_id.get(&upstream) {
+                    self.record_report(now, index, outcome, load);
                 }
             }
             Event::ListConfirmed { at } => self.lease.renew(at),
-            Event::DiscoveryAddressChanged => self.lease.move_at(now),
-            // Talk with peers is not used.
+            Event::DiscoveryAddressChanged => self.lease.change_address(now),
+            // The balancer handles lists before it passes events on, and timers by the time alone; messages of peers are
+            // not used.
             Event::ListUpdate(_) | Event::TimerFired { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    /// Takes what the list says of an upstream, or that it is not on the list any more.
-    fn listed(&mut self, now: TenthMillis, up: usize, entry: Option<UpstreamEntry>) {
-        self.fleet.rank(up, &self.terms, |ranking, rank| ranking.remove(&rank));
-        let upstream = &mut self.fleet.board[up];
+    fn handle_attempt_ended(&mut self, now: TenthMillis, ended: &EndedAttempt, actions: &mut Vec<Action>) {
+        let number = self.queue.number_by_id.get(&ended.request).copied();
+        self.record_ended_attempt(now, number, ended);
+        let Some(number) = number else { return };
+        let Some(request) = self.queue.requests.get_mut(&number) else { return };
+        if let Some(attempt) = request.attempts.get_mut(ended.attempt as usize) {
+            attempt.in_flight = false;
+            attempt.may_have_run = !ended.outcome.never_ran();
+        }
+        if !ended.answered {
+            return self.retry_or_fail(now, number, actions);
+        }
+        if ended.outcome == Outcome::Ok {
+            let earned = if now <= request.sla_end { HEDGES_PER_TIMELY_REQUEST } else { 0.0 };
+            self.hedge_budget = (self.hedge_budget + earned).min(MAX_HEDGE_BUDGET);
+            let cost_rate = request.cost / RATE_WINDOW as f64;
+            self.fleet.served_cost_rate.add(now, RATE_HALF_LIFE, cost_rate);
+        }
+        self.close_request(number, actions);
+    }
+
+    /// Takes an ended attempt into the estimates of response times, of the concurrency limit, and of its upstream and zone.
+    fn record_ended_attempt(
+        &mut self,
+        now: TenthMillis,
+        number: Option<RequestNumber>,
+        ended: &EndedAttempt,
+    ) {
+        let &EndedAttempt { upstream, outcome, duration, .. } = ended;
+        let zone = self.fleet.zones.entry(self.fleet.upstreams[upstream].entry.zone).or_default();
+        // If its whole zone has not answered since it was sent, a timeout shows neither a response time nor an overload.
+        let zone_is_silent = outcome == Outcome::TimedOut && zone.answered_at < now.saturating_sub(duration);
+        if matches!(outcome, Outcome::Ok | Outcome::TimedOut) && !zone_is_silent {
+            self.response_times.record(now, duration);
+        }
+        let request = number.and_then(|number| self.queue.requests.get(&number));
+        let (cost, sla_time) = request.map_or((self.fleet.costs.mean(), 0), |request| {
+            (request.cost, request.sla_end - request.arrived_at)
+        });
+        self.fleet.update_in_flight(now, -1.0);
+        if matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Full) && !zone_is_silent {
+            let waited = duration as f64 - MAX_UNLOADED_PACE * cost;
+            let has_waited_too_long = 2.0 * waited > sla_time as f64 || outcome == Outcome::Full;
+            self.fleet.adapt_concurrency_limit(has_waited_too_long, &self.config);
+        }
+        self.record_at_upstream(now, ended, cost);
+    }
+
+    fn record_at_upstream(&mut self, now: TenthMillis, ended: &EndedAttempt, cost: f64) {
+        let &EndedAttempt { outcome, duration, .. } = ended;
+        let upstream = &mut self.fleet.upstreams[ended.upstream];
+        let entry = &upstream.entry;
+        let capacity = entry.capacity.clamp(MIN_CAPACITY, MAX_CAPACITY);
+        let cost_by_capacity = cost / capacity;
+        let zone = self.fleet.zones.entry(entry.zone).or_default();
+        // The time of the way there and back counts as cost: otherwise that of a small request would look like an overload
+        // of its upstream.
+        let way = zone.pace.min_duration;
+        if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
+            zone.record_unanswered(now, now.saturating_sub(duration));
+        }
+        if outcome == Outcome::Ok {
+            zone.answered_at = now;
+            zone.outlier_score.level *= ANSWER_SCORE_FACTOR;
+            zone.pace.record(duration, cost_by_capacity, RUNNING_MEAN_SAMPLES);
+            self.fleet.pace.record(duration, cost + way, RUNNING_MEAN_SAMPLES);
+            self.fleet.pace_by_capacity.record(duration, cost_by_capacity + way, RUNNING_MEAN_SAMPLES);
+            let kind_pace = self.fleet.kind_paces.entry(entry.kind).or_default();
+            kind_pace.record(duration, cost_by_capacity + way, RUNNING_MEAN_SAMPLES);
+        }
+        upstream.record_ended(cost);
+        let slow_after = self.response_times.high_quantile;
+        upstream.record_outcome(now, outcome, duration, cost + way, slow_after, &self.config);
+    }
+
+    /// Takes the entry of an upstream in a new list; none where the list doesn't contain it any more.
+    fn update_entry(&mut self, now: TenthMillis, index: UpstreamIndex, entry: Option<UpstreamEntry>) {
+        self.fleet.change_ranking(index, &self.config, |ranking, ranked| ranking.remove(&ranked));
+        let upstream = &mut self.fleet.upstreams[index];
         match entry {
-            Some(entry) => upstream.listed(now, entry, &self.terms),
-            None => (upstream.entry.stage, upstream.gone) = (Stage::Gone, now),
+            Some(entry) => upstream.update_entry(now, entry, &self.config),
+            None => (upstream.entry.stage, upstream.listed_at) = (Stage::Gone, now),
         }
-        self.fleet.rank(up, &self.terms, |ranking, rank| ranking.insert(rank));
-        self.fleet.relisted.insert(up);
+        self.fleet.change_ranking(index, &self.config, |ranking, ranked| ranking.insert(ranked));
+        self.fleet.relisted.insert(index);
     }
 
-    fn report(&mut self, now: TenthMillis, up: usize, outcome: Outcome, load: Load) {
-        if let (Some(held), Some(waiting)) = (load.in_flight, load.queued.filter(|waiting| *waiting >= 1.0)) {
-            self.fleet.cores += (held - waiting - self.fleet.cores) / PACE_WINDOW;
+    fn record_report(&mut self, now: TenthMillis, index: UpstreamIndex, outcome: Outcome, load: Load) {
+        let queued = load.queued.filter(|queued| *queued >= 1.0);
+        if let (Some(in_flight), Some(queued)) = (load.in_flight, queued) {
+            let concurrency = &mut self.fleet.concurrency_per_upstream;
+            *concurrency += (in_flight - queued - *concurrency) / RUNNING_MEAN_SAMPLES;
         }
-        self.fleet.board[up].reported(now, outcome, load);
+        self.fleet.upstreams[index].record_report(now, outcome, load);
     }
 
-    fn arrive(&mut self, now: TenthMillis, arrival: Arrival, out: &mut Vec<Action>) {
-        let number = self.queue.next;
-        self.queue.next += 1;
-        self.fleet.arrivals.add(now, LONG, 1.0);
-        let share = self.share(now, arrival.tenant as usize);
-        let class = self.terms.classes[(arrival.class as usize).min(self.terms.classes.len() - 1)].clone();
-        let rank = (class.value * share).max(0.0).to_bits();
+    fn handle_arrival(&mut self, now: TenthMillis, arrival: Arrival, actions: &mut Vec<Action>) {
+        let number = self.queue.next_number;
+        self.queue.next_number += 1;
+        self.fleet.recent_arrivals.add(now, RATE_HALF_LIFE, 1.0);
+        let value_factor = self.take_from_quota(now, arrival.tenant as usize);
+        let class_index = (arrival.class as usize).min(self.config.classes.len() - 1);
+        let class = &self.config.classes[class_index];
         let sla_end = now + class.sla_time.min(arrival.time_left);
-        let cost = arrival.cost.unwrap_or(1).clamp(1, MOST_COST) as f64;
-        let (id, key, heavy) = (arrival.request.clone(), arrival.affinity_key, self.weigh(cost));
-        let (arrived, effect, limits) = (now, class.effect, self.terms.attempt_limits());
-        let request =
-            Request { id, effect, limits, cost, key, heavy, arrived, sla_end, rank, ..Request::default() };
-        // A long request of little value would make dozens late that are worth more and wait behind it.
-        let takes = self.kept(&request) * self.fleet.pace.mean() * cost;
-        self.queue.numbers.insert(arrival.request, number);
+        let cost = arrival.cost.unwrap_or(1).clamp(1, MAX_COST) as f64;
+        let request = Request {
+            id: arrival.request.clone(),
+            effect: class.effect,
+            limits: self.config.attempt_limits(),
+            cost,
+            affinity_key: arrival.affinity_key,
+            is_heavy: self.fleet.costs.record(cost),
+            arrived_at: now,
+            sla_end,
+            value_bits: (class.value * value_factor).max(0.0).to_bits(),
+            ..Request::default()
+        };
+        // A long request of little value would make dozens of more valuable ones late that wait behind it.
+        let expected_time = self.reserved_share(&request) * self.fleet.pace.mean() * cost;
+        self.queue.number_by_id.insert(arrival.request, number);
         self.queue.requests.insert(number, request);
-        if !self.terms.probing && takes > (sla_end - now) as f64 {
-            self.give_up(number, GiveUpReason::TooLong, out)
+        if !self.config.probing && expected_time > (sla_end - now) as f64 {
+            self.give_up(number, GiveUpReason::TooLong, actions)
         } else {
-            self.hold(now, number)
+            self.enqueue(now, number)
         }
     }
 
-    /// What part of its value counts, by the tenant's share of this balancer as a bucket of one second.
-    fn share(&mut self, now: TenthMillis, tenant: usize) -> f64 {
-        let quota = self.terms.tenants.get(tenant).map(|t| self.terms.own_share(t.quota_rps));
-        let (Some(quota), Some((left, at))) = (quota, self.quotas.get_mut(tenant)) else { return 1.0 };
-        *left = (*left + quota * (now - *at) as f64 / SECOND as f64).min(quota.max(1.0));
-        *at = now;
-        let over = *left < 1.0;
-        *left -= if over { 0.0 } else { 1.0 };
-        if over { self.terms.over_quota_value } else { 1.0 }
-    }
-
-    fn weigh(&mut self, cost: f64) -> bool {
-        let median = self.costs.quantile_bucket(0.5).ok().flatten();
-        let heavy = median.is_some_and(|bin| cost > bin.end() as f64);
-        let _beyond = self.costs.increment(cost as u64);
-        self.fleet.cost_sums[usize::from(heavy)] += cost;
-        self.fleet.cost_count += 1;
-        if self.fleet.cost_count >= 2 * WINDOW_OUTCOMES {
-            self.costs.as_mut_slice().iter_mut().for_each(|bin| *bin /= 2);
-            self.fleet.cost_sums.iter_mut().for_each(|sum| *sum /= 2.0);
-            self.fleet.cost_count = WINDOW_OUTCOMES;
+    /// The factor on the value of a tenant's request: 1 within this balancer's share of the tenant's quota.
+    fn take_from_quota(&mut self, now: TenthMillis, tenant: usize) -> f64 {
+        let quota = self.config.tenants.get(tenant).map(|tenant| self.config.own_share(tenant.quota_rps));
+        let (Some(quota), Some(bucket)) = (quota, self.quotas.get_mut(tenant)) else { return 1.0 };
+        let refill = quota * (now - bucket.refilled_at) as f64 / SECOND as f64;
+        bucket.tokens = (bucket.tokens + refill).min(quota.max(1.0));
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            return self.config.over_quota_value;
         }
-        heavy
+        bucket.tokens -= 1.0;
+        1.0
     }
 }
 
-fn mix(x: u64) -> u64 {
+/// A hash of a number, by the steps of the generator SplitMix64.
+fn hash_u64(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_add(0x9e37_79b9_7f4a_7c15).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/src/balance/discovery.rs
+++ b/src/balance/discovery.rs
@@ -1,4 +1,4 @@
-//! When to ask for the list of upstreams.
+//! When to call discovery for the list of upstreams.
 
 use std::ops::Range;
 
@@ -7,99 +7,111 @@
 use super::SECOND;
 use crate::{BalancerConfig, ListSource, ListUpdate, TenthMillis};
 
-/// How long the list service may take for one balancer's call.
-const LIST_CALL: TenthMillis = 600;
-/// So long may a call that is not answered take until that is known. The lease on the list goes on through an outage only
-/// if each call that shows the outage has come to its end when the lease by the one before it ends.
-const UNANSWERED: TenthMillis = 23 * SECOND / 10;
-/// The longest waits before calls.
-const FIRST_WAITS: TenthMillis = 7 * SECOND / 2;
-const SILENT_WAITS: TenthMillis = 27 * SECOND / 10;
-const UNREACHED_WAITS: TenthMillis = 3 * SECOND / 2;
-const STALE_WAITS: TenthMillis = 3 * SECOND / 10;
-/// The mean wait after a first refusal for each balancer, at least and at most, where a second of the lease is left. Each
-/// further refusal doubles it, up to so often.
-const RETRY: TenthMillis = 200;
-const LEAST_RETRY: TenthMillis = SECOND / 5;
-const MOST_RETRY: TenthMillis = SECOND;
-const MOST_DOUBLINGS: u32 = 6;
-/// What is left of the lease and a second more: the wait goes by it, within these.
-const LEAST_URGENCY: TenthMillis = 2 * SECOND;
-const MOST_URGENCY: TenthMillis = 5 * SECOND;
+/// The time of the list service that one balancer's call may take.
+const LIST_CALL_TIME: TenthMillis = 600;
+/// The longest time until an unanswered call is known to be unanswered. The lease on the list is renewed through an outage
+/// only if each call that shows the outage has ended before the lease from the call before it expires.
+const MAX_UNANSWERED_TIME: TenthMillis = 23 * SECOND / 10;
+/// The longest waits before a call: the first one, or one after an answered call; one after an unanswered watch; one after
+/// discovery was unreachable; and the first one where nothing may be sent until it is answered.
+const MAX_FIRST_WAIT: TenthMillis = 7 * SECOND / 2;
+const MAX_WAIT_AFTER_WATCH: TenthMillis = 27 * SECOND / 10;
+const MAX_WAIT_AFTER_UNREACHABLE: TenthMillis = 3 * SECOND / 2;
+const MAX_WAIT_WITHOUT_LEASE: TenthMillis = 3 * SECOND / 10;
+/// The upper end of a spread of waits is at least this, however few the balancers are.
+const MIN_SPREAD: TenthMillis = 3 * SECOND / 2;
+/// The mean wait after a first refusal where a second of the lease is left: this much for each balancer, between the
+/// minimum and the maximum. Each further refusal doubles the wait, up to `MAX_RETRY_DOUBLINGS` times.
+const RETRY_WAIT_PER_BALANCER: TenthMillis = 200;
+const MIN_RETRY_WAIT: TenthMillis = SECOND / 5;
+const MAX_RETRY_WAIT: TenthMillis = SECOND;
+const MAX_RETRY_DOUBLINGS: u32 = 6;
+/// The wait after a refusal is proportional to the rest of the lease plus one second, within these bounds.
+const MIN_RETRY_LEASE: TenthMillis = 2 * SECOND;
+const MAX_RETRY_LEASE: TenthMillis = 5 * SECOND;
 
-pub struct Discovery {
-    /// Refusals in a row.
+/// The schedule of this balancer's calls to discovery.
+#[derive(Default)]
+pub struct ListCalls {
+    /// Consecutive refused calls.
     pub refusals: u32,
-    pub ask_at: Option<TenthMillis>,
+    /// When to call next.
+    pub next_call_at: Option<TenthMillis>,
 }
 
-impl Discovery {
-    /// Calls are spread, or balancers that have to ask together would fail each other's calls. They are never spread
-    /// over so long that a list which could be had comes after the end of the lease on the last.
-    /// `left` is what is left of that lease.
-    pub fn ask(
+impl ListCalls {
+    /// Schedules the next call after the last one ended with `last`.
+    ///
+    /// Calls are spread at random, because balancers that all have to call at once would make each other's calls fail. They
+    /// are never spread so far that an available list arrives after the lease on the last one has expired. `lease_left` is
+    /// the time until that.
+    pub fn schedule(
         &mut self,
         now: TenthMillis,
-        why: &ListUpdate,
-        left: Option<TenthMillis>,
-        terms: &BalancerConfig,
+        last: &ListUpdate,
+        lease_left: Option<TenthMillis>,
+        config: &BalancerConfig,
         rng: &mut WyRand,
     ) {
-        match why {
+        match last {
             ListUpdate::Refused => self.refusals += 1,
             ListUpdate::Unreachable => {}
             _ => self.refusals = 0,
         }
-        let waits = match terms.list_source {
+        let waits = match config.list_source {
             ListSource::Pushed => return,
-            ListSource::LocalAgent => Self::agent_waits(why),
-            ListSource::Polled { max_poll_interval: within } => {
-                self.service_waits(why, within, left, terms.balancer_count)
+            ListSource::LocalAgent => Self::agent_waits(last),
+            ListSource::Polled { max_poll_interval } => {
+                self.service_waits(last, max_poll_interval, lease_left, config.balancer_count)
             }
         };
-        self.ask_at = Some(now + rng.generate_range(waits));
+        self.next_call_at = Some(now + rng.generate_range(waits));
     }
 
-    /// Nobody else calls the agent.
-    fn agent_waits(why: &ListUpdate) -> Range<TenthMillis> {
-        match why {
+    /// A local agent has no other callers, so that calls need no spread over balancers.
+    fn agent_waits(last: &ListUpdate) -> Range<TenthMillis> {
+        match last {
             ListUpdate::WatchTimedOut | ListUpdate::Restored(_) => 0..1,
-            _ => LIST_CALL..4 * LIST_CALL,
+            _ => LIST_CALL_TIME..4 * LIST_CALL_TIME,
         }
     }
 
     fn service_waits(
         &self,
-        why: &ListUpdate,
-        within: TenthMillis,
-        left: Option<TenthMillis>,
-        balancers: u32,
+        last: &ListUpdate,
+        max_poll_interval: TenthMillis,
+        lease_left: Option<TenthMillis>,
+        balancer_count: u32,
     ) -> Range<TenthMillis> {
-        let all = LIST_CALL * u64::from(balancers);
-        let spread = |most: TenthMillis| {
-            let longest = (2 * all).clamp(3 * SECOND / 2, most).min(within);
+        let time_for_all = LIST_CALL_TIME * u64::from(balancer_count);
+        let spread = |max_wait: TenthMillis| {
+            let longest = (2 * time_for_all).clamp(MIN_SPREAD, max_wait).min(max_poll_interval);
             longest / 16..longest.max(longest / 16 + 1)
         };
-        match why {
+        match last {
             ListUpdate::WatchTimedOut => {
-                let in_time = left.map_or(SILENT_WAITS, |left| left.saturating_sub(UNANSWERED));
-                0..all.min(in_time).clamp(1, SILENT_WAITS)
+                let in_time =
+                    lease_left.map_or(MAX_WAIT_AFTER_WATCH, |left| left.saturating_sub(MAX_UNANSWERED_TIME));
+                0..time_for_all.min(in_time).clamp(1, MAX_WAIT_AFTER_WATCH)
             }
-            ListUpdate::Refused => self.retry_waits(left, balancers),
-            ListUpdate::Unreachable => spread(UNREACHED_WAITS),
+            ListUpdate::Refused => self.retry_waits(lease_left, balancer_count),
+            ListUpdate::Unreachable => spread(MAX_WAIT_AFTER_UNREACHABLE),
             // Nothing is sent until the call is answered.
-            ListUpdate::Restored(_) if left == Some(0) => 0..all.clamp(1, STALE_WAITS),
-            _ => spread(FIRST_WAITS),
+            ListUpdate::Restored(_) if lease_left == Some(0) => {
+                0..time_for_all.clamp(1, MAX_WAIT_WITHOUT_LEASE)
+            }
+            _ => spread(MAX_FIRST_WAIT),
         }
     }
 
-    /// Calls come often enough that the service is hardly idle while somebody waits, most often from whose lease ends
-    /// first, and ever more rarely where the service does little but refuse.
-    fn retry_waits(&self, left: Option<TenthMillis>, balancers: u32) -> Range<TenthMillis> {
-        let least = (RETRY * u64::from(balancers)).clamp(LEAST_RETRY, MOST_RETRY);
-        let urgency = (left.unwrap_or_default() + SECOND).clamp(LEAST_URGENCY, MOST_URGENCY);
-        let first = least * urgency / LEAST_URGENCY;
-        let mean = first << self.refusals.saturating_sub(1).min(MOST_DOUBLINGS);
-        mean / 2..3 * mean / 2
+    /// The balancers together retry often enough that the service is hardly idle while one of them waits. A balancer whose
+    /// lease ends sooner retries sooner, and all retry less often the longer the service refuses most calls.
+    fn retry_waits(&self, lease_left: Option<TenthMillis>, balancer_count: u32) -> Range<TenthMillis> {
+        let wait_per_call =
+            (RETRY_WAIT_PER_BALANCER * u64::from(balancer_count)).clamp(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
+        let lease = (lease_left.unwrap_or_default() + SECOND).clamp(MIN_RETRY_LEASE, MAX_RETRY_LEASE);
+        let first_wait = wait_per_call * lease / MIN_RETRY_LEASE;
+        let mean_wait = first_wait << self.refusals.saturating_sub(1).min(MAX_RETRY_DOUBLINGS);
+        mean_wait / 2..3 * mean_wait / 2
     }
 }
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -1,189 +1,273 @@
-//! Requests that are held, given up and ended.
+//! Open requests: those that wait to be sent, their alarms, and how they end.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
 use nanorand::Rng;
 
-use super::{Dispatcher, LONG};
+use super::{Dispatcher, RATE_HALF_LIFE, UpstreamIndex};
 use crate::{Action, AttemptLimits, DedupScope, Effect, GiveUpReason, RequestId, TenthMillis};
 
-const GIVE_WAY: f64 = 4.0;
+/// Requests are dropped when the cost of the waiting ones is more than the recent rate would serve in a quarter of the time
+/// left to the one of least value.
+const OVERLOAD_FACTOR: f64 = 4.0;
 
+/// A number that the balancer gives each request in the order of arrival.
+pub type RequestNumber = u64;
+
+/// An attempt of a request.
 pub struct Attempt {
-    pub up: usize,
-    pub sent: TenthMillis,
-    pub out: bool,
+    pub upstream: UpstreamIndex,
+    pub sent_at: TenthMillis,
+    /// Whether the attempt has no outcome yet.
+    pub in_flight: bool,
+    /// Whether the attempt, now that it has ended, may have taken effect.
     pub may_have_run: bool,
 }
 
+/// The probes that were sent to choose an upstream for a request.
+#[derive(Default)]
+pub struct ProbeRound {
+    pub started_at: TenthMillis,
+    /// The upstreams whose load counts; empty where no probes were sent.
+    pub upstreams: Vec<UpstreamIndex>,
+}
+
+/// An open request.
 #[derive(Default)]
 pub struct Request {
     pub id: RequestId,
-    /// What it came under, whatever its class and the settings say since.
+    /// The effect and the limits as they were when the request arrived; later changes of the configuration don't apply.
     pub effect: Effect,
     pub limits: AttemptLimits,
+    /// The expected work, as time of a standard core in tenths of a millisecond.
     pub cost: f64,
-    pub key: Option<u64>,
-    pub heavy: bool,
-    pub arrived: TenthMillis,
+    pub affinity_key: Option<u64>,
+    pub is_heavy: bool,
+    pub arrived_at: TenthMillis,
     /// The end of its SLA time, or its deadline where that is sooner.
     pub sla_end: TenthMillis,
-    pub rank: u64,
-    pub held: Option<TenthMillis>,
+    /// The bits of its value, a number that is not negative: such bits have the order of the values.
+    pub value_bits: u64,
+    /// The latest time to send it, while it waits for that.
+    pub waiting_send_by: Option<TenthMillis>,
     pub attempts: Vec<Attempt>,
-    /// When it asked for their load before it is sent, and which upstreams.
-    pub asked: (TenthMillis, Vec<usize>),
+    pub probes: ProbeRound,
 }
 
 impl Request {
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+    pub fn value(&self) -> f64 {
+        f64::from_bits(self.value_bits)
+    }
+
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The first that may have run.
-    pub fn first(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.out || a.may_have_run)
+    /// The first attempt that may have run or may still run.
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
     fn never_ran(&self) -> bool {
-        self.first().is_none()
+        self.first_possible_run().is_none()
     }
 
-    /// Whether it may be sent once more, and is not waiting for that already.
-    fn may_retry(&self) -> bool {
+    /// Whether it may be sent once more and does not already wait for that.
+    fn may_be_resent(&self) -> bool {
         let may_repeat = self.effect != Effect::NonIdempotent || self.never_ran();
-        may_repeat && self.held.is_none() && self.attempts.len() < self.limits.max_attempts as usize
+        let has_attempts_left = self.attempts.len() < self.limits.max_attempts as usize;
+        may_repeat && self.waiting_send_by.is_none() && has_attempts_left
     }
 
-    /// Until when one that may have run can be repeated without running twice.
-    pub fn begin_by(&self) -> Option<TenthMillis> {
-        let Effect::Keyed { key_ttl: memory, .. } = self.effect else { return None };
-        self.first().map(|a| a.sent + memory)
+    /// Until when upstreams recognize another attempt as a repeat; none where there is no such limit.
+    pub fn repeat_by(&self) -> Option<TenthMillis> {
+        let Effect::Keyed { key_ttl, .. } = self.effect else { return None };
+        self.first_possible_run().map(|attempt| attempt.sent_at + key_ttl)
     }
 }
 
+/// A time at which a request needs attention. Alarms are ordered by time, then by request.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Alarm {
+    pub at: TenthMillis,
+    pub request: RequestNumber,
+    pub kind: AlarmKind,
+}
+
+/// What an alarm is for. One that is not true any more when it is due is ignored.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum AlarmKind {
+    /// The request has waited as long as it can.
+    WaitOver,
+    /// The attempt of this number takes longer than expected.
+    AttemptOverdue(u32),
+    /// Probes have had their time. The request is tried anew after each batch of events; the alarm only causes one.
+    ProbesOver,
+}
+
+/// The open requests, and the order of those that wait.
 #[derive(Default)]
 pub struct Queue {
-    pub requests: BTreeMap<u64, Request>,
-    pub numbers: HashMap<RequestId, u64>,
-    pub next: u64,
-    pub held: BTreeSet<(TenthMillis, u64)>,
-    pub by_rank: BTreeSet<(u64, Reverse<TenthMillis>, u64)>,
-    pub held_cost: f64,
-    /// When an attempt is overdue, a held request (no attempt) runs out of time, or a probe (`ASKED`) is waited for.
-    pub alarms: BinaryHeap<Reverse<(TenthMillis, u64, Option<u32>)>>,
+    pub requests: BTreeMap<RequestNumber, Request>,
+    pub number_by_id: HashMap<RequestId, RequestNumber>,
+    pub next_number: RequestNumber,
+    /// Waiting requests by the latest time to send them.
+    pub by_send_time: BTreeSet<(TenthMillis, RequestNumber)>,
+    /// Waiting requests by value; among equals, the one that can wait longest comes first.
+    by_value: BTreeSet<(u64, Reverse<TenthMillis>, RequestNumber)>,
+    /// The sum of the costs of waiting requests.
+    waiting_cost: f64,
+    pub alarms: BinaryHeap<Reverse<Alarm>>,
 }
 
 impl Dispatcher {
-    pub fn hold(&mut self, now: TenthMillis, number: u64) {
+    /// Lets a request wait to be sent, the first time or again.
+    pub fn enqueue(&mut self, now: TenthMillis, number: RequestNumber) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
-        let (send_by, _) = self.estimate.plan(now, request.sla_end);
-        let by = request.begin_by().unwrap_or(request.sla_end);
-        let last = request.sla_end.saturating_sub(self.estimate.quick).min(by).max(now + 1);
-        request.held = Some(send_by);
-        self.queue.held.insert((send_by, number));
-        self.queue.by_rank.insert((request.rank, Reverse(send_by), number));
-        self.queue.held_cost += request.cost;
-        self.queue.alarms.push(Reverse((last, number, None)));
+        let send_by = self.response_times.plan(now, request.sla_end).send_by;
+        let repeat_by = request.repeat_by().unwrap_or(request.sla_end);
+        let too_late_from = request.sla_end.saturating_sub(self.response_times.low_quantile);
+        let wait_until = too_late_from.min(repeat_by).max(now + 1);
+        request.waiting_send_by = Some(send_by);
+        self.queue.by_send_time.insert((send_by, number));
+        self.queue.by_value.insert((request.value_bits, Reverse(send_by), number));
+        self.queue.waiting_cost += request.cost;
+        let alarm = Alarm { at: wait_until, request: number, kind: AlarmKind::WaitOver };
+        self.queue.alarms.push(Reverse(alarm));
     }
 
-    pub fn unhold(&mut self, number: u64) {
+    /// Ends the wait of a request, if it waits.
+    pub fn dequeue(&mut self, number: RequestNumber) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
-        let Some(send_by) = request.held.take() else { return };
-        self.queue.held.remove(&(send_by, number));
-        self.queue.by_rank.remove(&(request.rank, Reverse(send_by), number));
-        self.queue.held_cost -= request.cost;
+        let Some(send_by) = request.waiting_send_by.take() else { return };
+        self.queue.by_send_time.remove(&(send_by, number));
+        self.queue.by_value.remove(&(request.value_bits, Reverse(send_by), number));
+        self.queue.waiting_cost -= request.cost;
     }
 
-    /// In a jam the requests of least value give way, at once rather than at the end of a hopeless wait.
-    pub fn shed(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
-        while let Some(&(_, _, number)) = self.queue.by_rank.first() {
+    /// Under overload, drops the waiting requests of least value at once, instead of after a wait that serves nobody.
+    pub fn shed_load(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+        while let Some(&(_, _, number)) = self.queue.by_value.first() {
             let request = &self.queue.requests[&number];
-            let flow = self.fleet.flow.at(now, LONG);
-            let slack = request.sla_end.saturating_sub(self.estimate.tp).saturating_sub(now);
-            // What only waits for an answer to what it asked is in nobody's way.
-            let asks = self.terms.probing && self.has_room(request);
-            if GIVE_WAY * self.queue.held_cost <= slack as f64 * flow || flow == 0.0 || asks {
+            let served_cost_rate = self.fleet.served_cost_rate.value_at(now, RATE_HALF_LIFE);
+            let latest_send = request.sla_end.saturating_sub(self.response_times.high_quantile);
+            let time_left = latest_send.saturating_sub(now) as f64;
+            // A request that is below its concurrency limit waits only for answers to probes, and delays no other.
+            let waits_for_probes = self.config.probing && self.is_below_limit(request);
+            let keeps_up = OVERLOAD_FACTOR * self.queue.waiting_cost <= time_left * served_cost_rate;
+            if keeps_up || served_cost_rate == 0.0 || waits_for_probes {
                 return;
             }
-            self.stop_waiting(number, GiveUpReason::Overload, out);
+            self.stop_waiting(number, GiveUpReason::Overload, actions);
         }
     }
 
-    /// Only as many as what was served in time pays for, against hedges feeding the slowdown they should hide.
-    pub fn hedge(&mut self, now: TenthMillis, number: u64) {
+    /// Queues a second attempt beside the one in flight. The hedge budget, which requests served in time pay into, limits
+    /// such attempts: otherwise hedges would increase the overload whose effect they are meant to hide.
+    pub fn enqueue_hedge(&mut self, now: TenthMillis, number: RequestNumber) {
         let request = &self.queue.requests[&number];
-        if request.limits.hedging && request.may_retry() && self.extra >= 1.0 {
-            self.hold(now, number);
+        if request.limits.hedging && request.may_be_resent() && self.hedge_budget >= 1.0 {
+            self.enqueue(now, number);
         }
     }
 
-    pub fn failed(&mut self, now: TenthMillis, number: u64, out: &mut Vec<Action>) {
+    /// After a failed attempt: a retry where one is allowed, unless another attempt is in flight or waits.
+    pub fn retry_or_fail(&mut self, now: TenthMillis, number: RequestNumber, actions: &mut Vec<Action>) {
         let request = &self.queue.requests[&number];
-        if request.held.is_some() || request.out() {
+        if request.waiting_send_by.is_some() || request.has_attempt_in_flight() {
             return;
         }
-        match request.may_retry() {
-            true => self.hold_or_give_up(now, number, out),
-            false => self.give_up(number, GiveUpReason::AttemptsFailed, out),
+        match request.may_be_resent() {
+            true => self.enqueue_or_give_up(now, number, actions),
+            false => self.give_up(number, GiveUpReason::AttemptsFailed, actions),
         }
     }
 
-    /// The final answer for what cannot be served: a rejection where the rules allow it, else a failure.
-    pub fn give_up(&mut self, number: u64, why: GiveUpReason, out: &mut Vec<Action>) {
+    /// The final answer to a request that can't be served: a rejection where the request has certainly had no effect or
+    /// may be repeated, and a failure otherwise.
+    pub fn give_up(&mut self, number: RequestNumber, reason: GiveUpReason, actions: &mut Vec<Action>) {
         let request = &self.queue.requests[&number];
         let may_reject = match request.effect {
             Effect::Idempotent | Effect::Keyed { scope: DedupScope::All, .. } => true,
             Effect::NonIdempotent | Effect::Keyed { .. } => request.never_ran(),
         };
         let request = request.id.clone();
-        // Apart from each other, against all those rejected coming back in one wave.
-        let cool_down =
-            self.terms.max_retry_after.map(|l| l / 2 + self.rng.generate_range(0..(l / 2).max(1)));
-        out.push(match may_reject {
-            true => Action::Reject { request, retry_after: cool_down, reason: why },
-            false => Action::Fail { request, reason: why },
+        // Spread at random, so that rejected clients don't all come back at once.
+        let rng = &mut self.rng;
+        let retry_after =
+            self.config.max_retry_after.map(|max| max / 2 + rng.generate_range(0..(max / 2).max(1)));
+        actions.push(match may_reject {
+            true => Action::Reject { request, retry_after, reason },
+            false => Action::Fail { request, reason },
         });
-        self.close(number, out);
+        self.close_request(number, actions);
     }
 
-    pub fn stop_waiting(&mut self, number: u64, why: GiveUpReason, out: &mut Vec<Action>) {
-        if self.queue.requests[&number].out() { self.unhold(number) } else { self.give_up(number, why, out) }
+    /// Ends the wait of a request. That ends the request too, unless an attempt is in flight.
+    pub fn stop_waiting(&mut self, number: RequestNumber, reason: GiveUpReason, actions: &mut Vec<Action>) {
+        if self.queue.requests[&number].has_attempt_in_flight() {
+            self.dequeue(number);
+        } else {
+            self.give_up(number, reason, actions);
+        }
     }
 
-    fn hold_or_give_up(&mut self, now: TenthMillis, number: u64, out: &mut Vec<Action>) {
-        let hopeful = now + self.estimate.quick < self.queue.requests[&number].sla_end;
-        if hopeful { self.hold(now, number) } else { self.give_up(number, GiveUpReason::NoTimeLeft, out) }
+    fn enqueue_or_give_up(&mut self, now: TenthMillis, number: RequestNumber, actions: &mut Vec<Action>) {
+        let has_time_left = now + self.response_times.low_quantile < self.queue.requests[&number].sla_end;
+        if has_time_left {
+            self.enqueue(now, number);
+        } else {
+            self.give_up(number, GiveUpReason::NoTimeLeft, actions);
+        }
     }
 
-    pub fn close(&mut self, number: u64, out: &mut Vec<Action>) {
-        self.unhold(number);
+    /// Forgets a request, and cancels its attempts in flight where that is allowed.
+    pub fn close_request(&mut self, number: RequestNumber, actions: &mut Vec<Action>) {
+        self.dequeue(number);
         let Some(request) = self.queue.requests.remove(&number) else { return };
-        self.queue.numbers.remove(&request.id);
-        let outs = (0u32..).zip(&request.attempts).filter(|(_, a)| a.out && request.limits.cancelling);
-        out.extend(outs.map(|(attempt, _)| Action::Cancel { request: request.id.clone(), attempt }));
+        self.queue.number_by_id.remove(&request.id);
+        if request.limits.cancelling {
+            let in_flight = (0u32..).zip(&request.attempts).filter(|(_, attempt)| attempt.in_flight);
+            actions.extend(
+                in_flight.map(|(attempt, _)| Action::Cancel { request: request.id.clone(), attempt }),
+            );
+        }
     }
 
-    pub fn ring(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
-        while let Some(&Reverse((_, number, attempt))) = self.queue.alarms.peek().filter(|a| a.0.0 <= now) {
+    /// Handles all alarms that are due.
+    pub fn handle_alarms(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+        while let Some(&Reverse(alarm)) = self.queue.alarms.peek().filter(|alarm| alarm.0.at <= now) {
             self.queue.alarms.pop();
-            let Some(request) = self.queue.requests.get(&number) else { continue };
-            if let Some(attempt) = attempt {
-                let attempt = request.attempts.get(attempt as usize).filter(|a| a.out);
-                let Some(&Attempt { up, sent, .. }) = attempt else { continue };
-                self.fleet.board[up].overdue(now, sent, &self.terms);
-                self.fleet.zones.entry(self.fleet.board[up].entry.zone).or_default().unanswered(now, sent);
-                if now + self.estimate.quick < request.sla_end {
-                    self.hedge(now, number);
-                }
-            } else if request.held.is_some() {
-                let still_out = request.out();
-                self.unhold(number);
-                if !still_out {
-                    self.hold_or_give_up(now, number, out);
-                }
+            match alarm.kind {
+                AlarmKind::WaitOver => self.handle_wait_over(now, alarm.request, actions),
+                AlarmKind::AttemptOverdue(attempt) => self.handle_overdue(now, alarm.request, attempt),
+                AlarmKind::ProbesOver => {}
             }
         }
     }
+
+    fn handle_overdue(&mut self, now: TenthMillis, number: RequestNumber, attempt: u32) {
+        let Some(request) = self.queue.requests.get(&number) else { return };
+        let attempt = request.attempts.get(attempt as usize).filter(|attempt| attempt.in_flight);
+        let Some(&Attempt { upstream, sent_at, .. }) = attempt else { return };
+        self.fleet.upstreams[upstream].record_overdue(now, sent_at, &self.config);
+        let zone = self.fleet.upstreams[upstream].entry.zone;
+        self.fleet.zones.entry(zone).or_default().record_unanswered(now, sent_at);
+        if now + self.response_times.low_quantile < request.sla_end {
+            self.enqueue_hedge(now, number);
+        }
+    }
+
+    fn handle_wait_over(&mut self, now: TenthMillis, number: RequestNumber, actions: &mut Vec<Action>) {
+        let Some(request) = self.queue.requests.get(&number) else { return };
+        if request.waiting_send_by.is_none() {
+            return;
+        }
+        let has_attempt_in_flight = request.has_attempt_in_flight();
+        self.dequeue(number);
+        if !has_attempt_in_flight {
+            self.enqueue_or_give_up(now, number, actions);
+        }
+    }
 }
--- a/src/balance/subset.rs
+++ b/src/balance/subset.rs
@@ -2,163 +2,226 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Decaying, FEW_ANSWERS, LONG, Pace, SECOND, Upstream, Zone, mix};
+use super::{
+    CostStats, DecayingLevel, Pace, RATE_HALF_LIFE, SECOND, Upstream, UpstreamIndex, Zone, hash_u64,
+};
 use crate::{BalancerConfig, Stage, TenthMillis, UpstreamEntry, UpstreamId};
 
-/// Of the requests of ten seconds this part is the number of upstreams used, but never fewer than so many.
-const MEET: f64 = 0.15;
-const LEAST_SUBSET: usize = 8;
-/// Attempts for a unit of listed size before any answer has come.
-const FIRST_ROOM: f64 = 8.0;
-const LATE_SHRINKS: f64 = 0.93;
-const TIMELY_GROWS: f64 = 1.02;
-const OUT_SPAN: f64 = 2.0 * SECOND as f64;
-/// Room of which a part of this is taken counts as in use and grows: less is left to what is worth least.
-const IN_USE: f64 = 0.33;
-const REPORT_FADE: TenthMillis = 3 * SECOND;
-
-/// Live upstreams in an order of this balancer's own, by which it takes them into use, and by place.
-pub type Ranking = BTreeSet<(u64, usize)>;
-
-/// All that this balancer knows of its upstreams, and what it has out there.
+/// The size of the subset, for each request that has arrived within the last ten seconds, and at least. It is rounded
+/// down to a power of two.
+const UPSTREAMS_PER_ARRIVAL: f64 = 0.15;
+const MIN_SUBSET_SIZE: usize = 8;
+/// The subset shrinks only when the arrivals call for less than this fraction of it.
+const SUBSET_SHRINK_THRESHOLD: f64 = 0.7;
+/// The first concurrency limit, for each unit of live capacity.
+const INITIAL_LIMIT_PER_CAPACITY: f64 = 8.0;
+/// The factors on the concurrency limit after an attempt that waited too long, and after one that did not.
+const LIMIT_DECREASE_FACTOR: f64 = 0.93;
+const LIMIT_INCREASE_FACTOR: f64 = 1.02;
+/// The concurrency limit grows only while at least this fraction of it is in use. Requests of the lowest value may use a
+/// smaller fraction only, so that they alone never raise it.
+const MIN_USE_TO_INCREASE: f64 = 0.33;
+/// The time constant of the mean of attempts in flight, in tenths of a millisecond.
+const MEAN_IN_FLIGHT_TIME: f64 = 2.0 * SECOND as f64;
+/// The half-life of the load that an upstream reported.
+const REPORT_HALF_LIFE: TenthMillis = 3 * SECOND;
+/// A zone or kind with this many answers differs from the mean pace of all by half of what it shows: few answers are too
+/// noisy to be trusted in full.
+const PACE_PRIOR_SAMPLES: f64 = 4.0;
+
+/// A live upstream with its random position in this balancer's own order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RankedUpstream {
+    rank: u64,
+    index: UpstreamIndex,
+}
+
+/// Live upstreams in the order in which this balancer takes them into its subset.
+pub type Ranking = BTreeSet<RankedUpstream>;
+
+/// All upstreams of this balancer, and its load on them.
 #[derive(Default)]
 pub struct Fleet {
-    pub names: BTreeMap<UpstreamId, usize>,
-    pub board: Vec<Upstream>,
-    /// The upstreams used, in an order all balancers share: the first `light` for light requests, the rest for heavy.
-    pub candidates: Vec<usize>,
-    pub light: usize,
-    pub subset: usize,
-    pub stale: bool,
-    pub partial: bool,
+    pub index_by_id: BTreeMap<UpstreamId, UpstreamIndex>,
+    pub upstreams: Vec<Upstream>,
+    /// The upstreams in use, in an order that all balancers share: the first `light_count` are for light requests, the
+    /// others for heavy ones.
+    pub candidates: Vec<UpstreamIndex>,
+    pub light_count: usize,
+    /// The wanted size of the subset.
+    subset_size: usize,
+    /// Whether the stage of an upstream has changed since the subset was chosen.
+    pub is_subset_outdated: bool,
+    /// Whether there are more live upstreams than candidates.
+    is_partial: bool,
+    /// The pace of all upstreams, as response time per unit of cost.
     pub pace: Pace,
-    /// As above, for a unit of cost by listed size: what kinds and zones are held against.
-    pub listed: Pace,
-    pub kinds: BTreeMap<u32, Pace>,
-    /// How many requests an upstream works on at once, by what those with a queue tell.
-    pub cores: f64,
+    /// The same with costs divided by the upstream's capacity, to which kinds and zones are compared.
+    pub pace_by_capacity: Pace,
+    pub kind_paces: BTreeMap<u32, Pace>,
+    /// How many requests an upstream works on at once, by the reports of upstreams with a queue.
+    pub concurrency_per_upstream: f64,
     pub zones: BTreeMap<u32, Zone>,
-    pub arrivals: Decaying,
-    pub flow: Decaying,
-    pub cost_sums: [f64; 2],
-    pub cost_count: u32,
-    /// Those of the own zone and of the others.
-    pub near: Ranking,
-    pub far: Ranking,
-    /// Places listed since the subset was chosen, and the sum of the sizes as they were then.
-    pub relisted: BTreeSet<usize>,
-    pub size: Option<f64>,
-    /// This balancer's room among all live upstreams, and what it has out.
-    pub room: f64,
-    pub out_now: f64,
-    pub out_mean: f64,
-    pub out_at: TenthMillis,
+    /// Requests that have arrived in the last ten seconds.
+    pub recent_arrivals: DecayingLevel,
+    /// The cost served per time over the last ten seconds.
+    pub served_cost_rate: DecayingLevel,
+    pub costs: CostStats,
+    /// Live upstreams of the balancer's own zone.
+    own_zone_ranking: Ranking,
+    /// Live upstreams of all other zones.
+    other_zones_ranking: Ranking,
+    /// Upstreams that were listed since the subset was chosen.
+    pub relisted: BTreeSet<UpstreamIndex>,
+    /// The sum of `Upstream::subset_capacity` when it was first needed after the subset was chosen.
+    live_capacity: Option<f64>,
+    /// How many attempts this balancer may have in flight.
+    pub concurrency_limit: f64,
+    pub in_flight: f64,
+    pub mean_in_flight: f64,
+    in_flight_updated_at: TenthMillis,
 }
 
 impl Fleet {
-    /// Where a live upstream stands among those of the own zone or of the others.
-    pub fn rank(
+    pub fn new() -> Self {
+        Fleet { concurrency_per_upstream: 1.0, ..Fleet::default() }
+    }
+
+    /// Inserts a live upstream into the ranking of its zone, or removes it, by `change`.
+    pub fn change_ranking(
         &mut self,
-        up: usize,
-        terms: &BalancerConfig,
-        change: impl Fn(&mut Ranking, (u64, usize)) -> bool,
+        index: UpstreamIndex,
+        config: &BalancerConfig,
+        change: impl Fn(&mut Ranking, RankedUpstream) -> bool,
     ) {
-        let upstream = &self.board[up];
+        let upstream = &self.upstreams[index];
         if upstream.entry.stage == Stage::Live {
-            let ranking = if upstream.entry.zone == terms.own_zone { &mut self.near } else { &mut self.far };
-            change(ranking, (mix(upstream.order ^ mix(u64::from(terms.own_index))), up));
+            let is_in_own_zone = upstream.entry.zone == config.own_zone;
+            let ranking =
+                if is_in_own_zone { &mut self.own_zone_ranking } else { &mut self.other_zones_ranking };
+            let rank = hash_u64(upstream.id_hash ^ hash_u64(u64::from(config.own_index)));
+            change(ranking, RankedUpstream { rank, index });
         }
     }
 
-    /// Listed size of all that were live when the subset was drawn last, added up once it is needed.
-    pub fn size(&mut self) -> f64 {
-        *self.size.get_or_insert_with(|| self.board.iter().map(|s| s.counted_size).sum())
+    /// The capacity of all upstreams that were live when the subset was last chosen.
+    fn live_capacity(&mut self) -> f64 {
+        let capacities = self.upstreams.iter().map(|upstream| upstream.subset_capacity);
+        *self.live_capacity.get_or_insert_with(|| capacities.sum())
     }
 
-    pub fn slower(&self, some: Option<&Pace>) -> f64 {
-        some.map_or(0.0, |p| (p.log - self.listed.log) * p.answers / (p.answers + FEW_ANSWERS))
+    /// The logarithm of how much slower the upstreams of a kind or zone are than all, for equal capacity.
+    pub fn log_slowdown(&self, pace: Option<&Pace>) -> f64 {
+        pace.map_or(0.0, |pace| {
+            (pace.log_mean - self.pace_by_capacity.log_mean) * pace.samples
+                / (pace.samples + PACE_PRIOR_SAMPLES)
+        })
     }
 
-    pub fn mean_cost(&self) -> f64 {
-        self.cost_sums.iter().sum::<f64>() / f64::from(self.cost_count.max(1))
+    /// The capacity corrected by the pace of all upstreams of its kind; a single upstream has too few answers to know its
+    /// own pace.
+    pub fn speed(&self, index: UpstreamIndex) -> f64 {
+        let entry = &self.upstreams[index].entry;
+        entry.capacity * (-self.log_slowdown(self.kind_paces.get(&entry.kind))).exp()
     }
 
-    /// Listed size by the pace of all upstreams of its kind, since each is met too seldom to know its own.
-    pub fn speed(&self, up: usize) -> f64 {
-        let s = &self.board[up];
-        s.entry.capacity * (-self.slower(self.kinds.get(&s.entry.kind))).exp()
+    /// The cost in flight at an upstream by its last report, plus what was sent there since. Decays with the report's age.
+    pub fn reported_cost(&self, now: TenthMillis, index: UpstreamIndex) -> f64 {
+        let upstream = &self.upstreams[index];
+        let level = upstream
+            .reported_in_flight
+            .map_or(0.0, |in_flight| in_flight * self.costs.mean() + upstream.cost_since_report);
+        DecayingLevel { level, updated_at: upstream.reported_at }.value_at(now, REPORT_HALF_LIFE)
     }
 
-    /// The cost that an upstream told of, and what was sent there since; what it told fades.
-    pub fn told(&self, now: TenthMillis, up: usize) -> f64 {
-        let s = &self.board[up];
-        let level = s.reported_held.map_or(0.0, |held| held * self.mean_cost() + s.cost_since);
-        Decaying { level, at: s.reported_at }.at(now, REPORT_FADE)
+    /// Changes the number of attempts in flight and updates its mean. By the mean, a limit of less than one attempt allows
+    /// one for a part of the time.
+    pub fn update_in_flight(&mut self, now: TenthMillis, change: f64) {
+        let elapsed = (now - self.in_flight_updated_at) as f64;
+        self.mean_in_flight +=
+            (self.in_flight - self.mean_in_flight) * (1.0 - (-elapsed / MEAN_IN_FLIGHT_TIME).exp());
+        (self.in_flight_updated_at, self.in_flight) = (now, (self.in_flight + change).max(0.0));
     }
 
-    /// What is out, and its mean over the last while: a part of less than one attempt is a part of the time.
-    pub fn note_out(&mut self, now: TenthMillis, change: f64) {
-        let span = (now - self.out_at) as f64;
-        self.out_mean += (self.out_now - self.out_mean) * (1.0 - (-span / OUT_SPAN).exp());
-        (self.out_at, self.out_now) = (now, (self.out_now + change).max(0.0));
-    }
-
-    /// Each upstream is seen too seldom: the share of all that wait too long tells of a jam not to feed.
-    pub fn make_room(&mut self, late: bool, terms: &BalancerConfig) {
-        if late {
-            self.room = (self.room * LATE_SHRINKS).max(terms.own_share(self.size()));
-        } else if self.out_mean >= IN_USE * self.room {
-            self.room *= TIMELY_GROWS;
+    /// Lowers the concurrency limit after an attempt that waited too long, and raises it after others. The attempts at all
+    /// upstreams count together, since those at a single one are too few to show an overload.
+    pub fn adapt_concurrency_limit(&mut self, has_waited_too_long: bool, config: &BalancerConfig) {
+        if has_waited_too_long {
+            let min_limit = config.own_share(self.live_capacity());
+            self.concurrency_limit = (self.concurrency_limit * LIMIT_DECREASE_FACTOR).max(min_limit);
+        } else if self.mean_in_flight >= MIN_USE_TO_INCREASE * self.concurrency_limit {
+            self.concurrency_limit *= LIMIT_INCREASE_FACTOR;
         }
     }
 
-    /// As many upstreams as requests come often enough to know, up to half of them from the own zone: the first live
-    /// ones in an order of this balancer's own, so that balancers use all alike and a change moves no other.
+    /// Chooses as many candidates as get requests often enough to be known, up to half of them from the own zone: the
+    /// first live upstreams of this balancer's random order. So balancers use all upstreams alike, and a change of one
+    /// upstream replaces no other candidate.
     fn choose_subset(&mut self) {
-        let Fleet { board, near, far, relisted, subset, .. } = self;
-        for up in std::mem::take(relisted) {
-            let UpstreamEntry { stage, capacity: size, .. } = board[up].entry;
-            board[up].counted_size = if stage == Stage::Live { size } else { 0.0 };
+        for index in std::mem::take(&mut self.relisted) {
+            let upstream = &mut self.upstreams[index];
+            let UpstreamEntry { stage, capacity, .. } = upstream.entry;
+            upstream.subset_capacity = if stage == Stage::Live { capacity } else { 0.0 };
         }
-        let all = near.len() + far.len();
-        let subset = all.min(*subset);
-        let part = 3 * subset * near.len() / (2 * all.max(1));
-        let half = part.min(subset / 2).max(subset.saturating_sub(far.len())).min(near.len());
-        // The own zone first: one or two candidates for light requests would else be far from most balancers.
-        let first = |ranking: &Ranking, count| {
-            let mut ups: Vec<usize> = ranking.iter().take(count).map(|(_, up)| *up).collect();
-            ups.sort_by_key(|up| board[*up].order);
-            ups
+        let (own_zone_count, other_count) = (self.own_zone_ranking.len(), self.other_zones_ranking.len());
+        let live_count = own_zone_count + other_count;
+        let subset_size = live_count.min(self.subset_size);
+        // One and a half times the own zone's share of the live upstreams.
+        let own_zone_part = 3 * subset_size * own_zone_count / (2 * live_count.max(1));
+        let from_own_zone = own_zone_part
+            .min(subset_size / 2)
+            .max(subset_size.saturating_sub(other_count))
+            .min(own_zone_count);
+        let first_of = |ranking: &Ranking, count| {
+            let mut indices: Vec<UpstreamIndex> =
+                ranking.iter().take(count).map(|ranked| ranked.index).collect();
+            indices.sort_by_key(|index| self.upstreams[*index].id_hash);
+            indices
         };
-        self.candidates = [first(near, half), first(far, subset - half)].concat();
-        (self.partial, self.size) = (all > subset, None);
+        // The own zone comes first: otherwise the one or two candidates for light requests would be in another zone for
+        // most balancers.
+        self.candidates = [
+            first_of(&self.own_zone_ranking, from_own_zone),
+            first_of(&self.other_zones_ranking, subset_size - from_own_zone),
+        ]
+        .concat();
+        self.is_partial = live_count > subset_size;
+        self.live_capacity = None;
     }
 
-    /// Light requests get candidates by their share of the cost, in upstream sizes; both kinds get one at least.
-    pub fn choose_candidates(&mut self, now: TenthMillis, terms: &BalancerConfig) {
-        let met = MEET * self.arrivals.at(now, LONG);
-        let by_traffic = LEAST_SUBSET.max((met as usize + 1).next_power_of_two() / 2);
-        let wanted = if terms.warm_keys { usize::MAX } else { by_traffic };
-        if self.stale || wanted > self.subset || wanted < self.subset && met < 0.7 * self.subset as f64 {
-            (self.subset, self.stale) = (wanted, false);
+    /// Chooses a new subset where the list or the traffic calls for one, and divides it between light and heavy requests.
+    pub fn choose_candidates(&mut self, now: TenthMillis, config: &BalancerConfig) {
+        let by_arrivals = UPSTREAMS_PER_ARRIVAL * self.recent_arrivals.value_at(now, RATE_HALF_LIFE);
+        let rounded = MIN_SUBSET_SIZE.max((by_arrivals as usize + 1).next_power_of_two() / 2);
+        let wanted_size = if config.warm_keys { usize::MAX } else { rounded };
+        let is_too_small = wanted_size > self.subset_size;
+        let is_too_large =
+            wanted_size < self.subset_size && by_arrivals < SUBSET_SHRINK_THRESHOLD * self.subset_size as f64;
+        if self.is_subset_outdated || is_too_small || is_too_large {
+            (self.subset_size, self.is_subset_outdated) = (wanted_size, false);
             self.choose_subset();
         }
-        if self.room == 0.0 {
-            self.room = terms.own_share(FIRST_ROOM * self.size());
+        if self.concurrency_limit == 0.0 {
+            self.concurrency_limit = config.own_share(INITIAL_LIMIT_PER_CAPACITY * self.live_capacity());
         }
-        let cost: f64 = self.cost_sums.iter().sum();
-        let all: f64 = self.candidates.iter().map(|up| self.speed(*up)).sum();
-        let mut part = all * self.cost_sums[0] / cost.max(1e-9);
-        // Undivided where no hint tells heavy from light, and where only a part of the list is in use: the candidates
-        // of different balancers overlap then, so that light requests wait behind heavy ones all the same.
-        let undivided = self.cost_sums[1] == 0.0 || self.partial;
-        let fits = |up: &&usize| {
-            part -= self.speed(**up);
-            undivided || part >= -self.speed(**up) / 2.0
+        self.divide_candidates();
+    }
+
+    /// Gives light requests the first candidates, by their part of the cost and the candidates' speeds; light and heavy
+    /// requests get at least one candidate each.
+    fn divide_candidates(&mut self) {
+        let total_speed: f64 = self.candidates.iter().map(|index| self.speed(*index)).sum();
+        let mut light_speed_left = self.costs.light_part_of(total_speed);
+        // Undivided where no cost hint tells heavy requests from light ones. Undivided too where only a part of the list
+        // is in use: the candidates of different balancers overlap then, and light requests would wait behind heavy ones
+        // all the same.
+        let is_undivided = self.costs.is_all_light() || self.is_partial;
+        let is_for_light = |index: &&UpstreamIndex| {
+            light_speed_left -= self.speed(**index);
+            is_undivided || light_speed_left >= -self.speed(**index) / 2.0
         };
-        self.light = self.candidates.iter().take_while(fits).count();
-        if !undivided {
-            self.light = self.light.max(1).min(self.candidates.len().saturating_sub(1).max(1));
-        }
+        let light_count = self.candidates.iter().take_while(is_for_light).count();
+        let max_light_count = self.candidates.len().saturating_sub(1).max(1);
+        self.light_count = if is_undivided { light_count } else { light_count.max(1).min(max_light_count) };
     }
 }
--- a/src/balance/upstream.rs
+++ b/src/balance/upstream.rs
@@ -1,172 +1,202 @@
-//! What is known of one upstream and of one zone.
+//! What this balancer knows of one upstream and of one zone.
 
-use super::{Decaying, Pace, SECOND, mix};
+use super::{DecayingLevel, Pace, SECOND, hash_u64};
 use crate::{BalancerConfig, Load, Outcome, Stage, TenthMillis, UpstreamEntry};
 
-const FIRST_CAP: f64 = 4.0;
-const GROWTH: f64 = 0.5;
-/// A cap is halved above so many times the best pace.
-const MOST_SLOWDOWN: f64 = 2.2;
-/// The outlier score halves in this time; from `EJECTED` on an upstream gets nothing while others can serve.
-pub const FADE: TenthMillis = 4 * SECOND;
-pub const EJECTED: f64 = 2.0;
-pub const ANSWER_LOWERS: f64 = 0.7;
-const SPOILT_STEP: f64 = 0.25;
-/// What an attempt since which nothing has come from its zone adds to the zone's score, and the most of that.
-const ZONE_STEP: f64 = 0.5;
-const MOST_ZONE_SCORE: f64 = 3.0;
-/// A probe that is turned away stands for so many held.
-const FULL: f64 = 100.0;
+/// The first in-flight limit of an upstream, for all balancers together.
+const INITIAL_IN_FLIGHT_LIMIT: f64 = 4.0;
+/// As many fast answers as the in-flight limit allows at a time raise the limit by this much.
+const LIMIT_INCREASE: f64 = 0.5;
+/// The in-flight limit is halved when the pace is more than this multiple of the best pace.
+const MAX_SLOWDOWN: f64 = 2.2;
+/// The half-life of outlier scores.
+pub const OUTLIER_HALF_LIFE: TenthMillis = 4 * SECOND;
+/// An upstream with this outlier score is ejected: it gets no requests while others can serve them.
+pub const EJECTION_SCORE: f64 = 2.0;
+const MAX_OUTLIER_SCORE: f64 = 4.0 * EJECTION_SCORE;
+/// The factor on an outlier score for each successful answer.
+pub const ANSWER_SCORE_FACTOR: f64 = 0.7;
+/// What a failure adds to the outlier score, and what a malformed answer adds.
+const FAILURE_SCORE: f64 = 1.0;
+const SPOILT_SCORE: f64 = 0.25;
+/// What an attempt adds to its zone's outlier score if no answer has come from the zone since it was sent, and the highest
+/// score that such attempts can reach.
+const ZONE_UNANSWERED_SCORE: f64 = 0.5;
+const MAX_ZONE_SCORE: f64 = 3.0;
+/// A refused probe counts as a report of this many requests in flight.
+const FULL_IN_FLIGHT: f64 = 100.0;
+
+/// The index of an upstream in `Fleet::upstreams`.
+pub type UpstreamIndex = usize;
 
 /// What this balancer knows of an upstream.
 #[derive(Default)]
 pub struct Upstream {
     pub entry: UpstreamEntry,
-    /// Its place in the order of the candidates, alike at every balancer.
-    pub order: u64,
+    /// A hash of its id, the same at every balancer, which gives the candidates their order.
+    pub id_hash: u64,
+    /// Attempts of this balancer without an outcome, the most of them at a time, and the sum of their costs.
     pub in_flight: u32,
-    pub cost_out: f64,
-    pub cap: f64,
-    pub outlier_score: Decaying,
-    /// Work sent of late, against its budget while it is cold.
-    pub cold_work: Decaying,
-    pub gone: TenthMillis,
-    /// Its listed size, or 0 where it was not live, when the subset was chosen last.
-    pub counted_size: f64,
-    /// What it told last of the work it holds, when, and the cost sent there since.
-    pub reported_held: Option<f64>,
+    pub in_flight_limit: f64,
+    pub cost_in_flight: f64,
+    pub outlier_score: DecayingLevel,
+    /// The cost that was sent lately, to be kept within the budget of a cold upstream.
+    pub recent_cost: DecayingLevel,
+    /// When the list last contained the upstream, or first did so no more.
+    pub listed_at: TenthMillis,
+    /// Its capacity, or 0 where it was not live, when the subset was last chosen.
+    pub subset_capacity: f64,
+    /// The requests in flight there by its last report, the time of that report, and the cost sent since.
+    pub reported_in_flight: Option<f64>,
     pub reported_at: TenthMillis,
-    pub cost_since: f64,
-    pub answered: TenthMillis,
-    /// When the last of the answered attempts left.
-    pub answered_sent: TenthMillis,
-    pub pace: Pace,
+    pub cost_since_report: f64,
+    /// When it last answered.
+    answered_at: TenthMillis,
+    /// When the latest of the answered attempts was sent.
+    answered_sent_at: TenthMillis,
+    pace: Pace,
 }
 
 impl Upstream {
-    pub fn new(entry: &UpstreamEntry, terms: &BalancerConfig) -> Self {
-        let order = entry.upstream.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
+    /// An upstream that is known by its id, but not listed yet.
+    pub fn new(entry: &UpstreamEntry, config: &BalancerConfig) -> Self {
+        let id_hash = entry.upstream.bytes().fold(0, |hash, byte| hash_u64(hash ^ u64::from(byte)));
         let entry = UpstreamEntry { started_at: None, stage: Stage::Gone, ..entry.clone() };
-        Upstream { entry, order, cap: terms.own_share(FIRST_CAP).max(1.0), ..Upstream::default() }
+        let in_flight_limit = config.own_share(INITIAL_IN_FLIGHT_LIMIT).max(1.0);
+        Upstream { entry, id_hash, in_flight_limit, ..Upstream::default() }
     }
 
-    /// The part of its capacity that it has by now, at least.
-    pub fn present(&self, now: TenthMillis, terms: &BalancerConfig) -> f64 {
-        let cold = &terms.cold_start;
-        let warmed = |age| {
+    /// The fraction of its capacity that it has by now, at least.
+    pub fn present_capacity_share(&self, now: TenthMillis, config: &BalancerConfig) -> f64 {
+        let cold = &config.cold_start;
+        let warmed_share = |age| {
             cold.initial_capacity_share
                 + (1.0 - cold.initial_capacity_share) * age as f64 / cold.warm_up_time as f64
         };
-        self.cold_age(now, terms).map_or(1.0, warmed)
+        self.age_while_cold(now, config).map_or(1.0, warmed_share)
     }
 
-    pub fn cold_age(&self, now: TenthMillis, terms: &BalancerConfig) -> Option<TenthMillis> {
-        self.entry
-            .started_at
-            .map(|at| now.saturating_sub(at))
-            .filter(|age| *age < terms.cold_start.warm_up_time)
+    /// The time since its start; none where it is warm.
+    pub fn age_while_cold(&self, now: TenthMillis, config: &BalancerConfig) -> Option<TenthMillis> {
+        let age = self.entry.started_at.map(|started_at| now.saturating_sub(started_at));
+        age.filter(|age| *age < config.cold_start.warm_up_time)
     }
 
-    pub fn listed(&mut self, now: TenthMillis, entry: UpstreamEntry, terms: &BalancerConfig) {
-        let known = std::mem::replace(&mut self.entry, entry);
-        self.gone = now;
-        if self.cold_age(now, terms).is_some() && self.entry.started_at != known.started_at {
-            // A new process: what was known of the old one would send it too much too soon.
-            (self.cap, self.outlier_score.level) = (1.0, 0.0);
+    /// Takes its entry in a new list.
+    pub fn update_entry(&mut self, now: TenthMillis, entry: UpstreamEntry, config: &BalancerConfig) {
+        let previous = std::mem::replace(&mut self.entry, entry);
+        self.listed_at = now;
+        if self.age_while_cold(now, config).is_some() && self.entry.started_at != previous.started_at {
+            // A new process: by what is known of the old one it would get too much too soon.
+            (self.in_flight_limit, self.outlier_score.level) = (1.0, 0.0);
         }
     }
 
-    pub fn sent(&mut self, now: TenthMillis, cost: f64, arrives: f64, terms: &BalancerConfig) {
+    /// Records an attempt; `cost_if_cold` counts against the budget of a cold upstream.
+    pub fn record_sent(&mut self, now: TenthMillis, cost: f64, cost_if_cold: f64, config: &BalancerConfig) {
         self.in_flight += 1;
-        self.cost_out += cost;
-        self.cost_since += cost;
-        self.cold_work.add(now, terms.cold_start.collapse_window.max(1), arrives);
+        self.cost_in_flight += cost;
+        self.cost_since_report += cost;
+        self.recent_cost.add(now, config.cold_start.collapse_window.max(1), cost_if_cold);
     }
 
-    pub fn returned(&mut self, cost: f64) {
+    /// Records that an attempt of this cost is not in flight any more.
+    pub fn record_ended(&mut self, cost: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.cost_out = if self.in_flight == 0 { 0.0 } else { (self.cost_out - cost).max(0.0) };
+        self.cost_in_flight = if self.in_flight == 0 { 0.0 } else { (self.cost_in_flight - cost).max(0.0) };
     }
 
-    pub fn end(
+    /// Adapts the in-flight limit and the outlier score to the outcome of an attempt. `slow_after` is the duration from
+    /// which on an answer doesn't raise the limit.
+    pub fn record_outcome(
         &mut self,
         now: TenthMillis,
         outcome: Outcome,
-        took: TenthMillis,
+        duration: TenthMillis,
         cost: f64,
-        tp: TenthMillis,
-        terms: &BalancerConfig,
+        slow_after: TenthMillis,
+        config: &BalancerConfig,
     ) {
         match outcome {
             Outcome::Ok => {
-                self.answered = now;
-                self.answered_sent = self.answered_sent.max(now.saturating_sub(took));
-                self.outlier_score.level *= ANSWER_LOWERS;
-                if self.pace.slowdown(took, cost) > MOST_SLOWDOWN {
-                    self.halve(terms);
-                } else if took <= tp {
-                    self.cap += GROWTH / self.cap;
+                self.answered_at = now;
+                self.answered_sent_at = self.answered_sent_at.max(now.saturating_sub(duration));
+                self.outlier_score.level *= ANSWER_SCORE_FACTOR;
+                if self.pace.record_slowdown(duration, cost) > MAX_SLOWDOWN {
+                    self.halve_in_flight_limit(config);
+                } else if duration <= slow_after {
+                    self.in_flight_limit += LIMIT_INCREASE / self.in_flight_limit;
                 }
             }
-            Outcome::TimedOut if now.saturating_sub(took) < self.answered_sent => {}
-            // A full waiting room is the shortest queue to look at; it must not draw more.
+            // A later attempt was answered, as in `record_overdue`.
+            Outcome::TimedOut if now.saturating_sub(duration) < self.answered_sent_at => {}
+            // By its load alone, an upstream whose queue is full and drops requests would look like the best choice.
             Outcome::Full | Outcome::TimedOut => {
-                self.halve(terms);
-                self.raise_outlier_score(now, 1.0);
+                self.halve_in_flight_limit(config);
+                self.raise_outlier_score(now, FAILURE_SCORE);
+            }
+            // Every upstream gives malformed answers now and then, so that one is no sign of ill health; a series of
+            // nothing else is.
+            Outcome::Spoilt => self.raise_outlier_score(now, SPOILT_SCORE),
+            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
+                self.raise_outlier_score(now, FAILURE_SCORE);
             }
-            // One in so many from everybody is no sign of this one's health; nothing else is.
-            Outcome::Spoilt => self.raise_outlier_score(now, SPOILT_STEP),
-            Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => self.raise_outlier_score(now, 1.0),
             Outcome::Cancelled | Outcome::Moot => {}
         }
     }
 
-    pub fn reported(&mut self, now: TenthMillis, outcome: Outcome, load: Load) {
+    /// Takes the load that it reported, or the failure of a probe.
+    pub fn record_report(&mut self, now: TenthMillis, outcome: Outcome, load: Load) {
         match outcome {
-            Outcome::Ok => (self.reported_held, self.cost_since) = (load.in_flight, 0.0),
-            Outcome::Full => self.reported_held = Some(FULL),
-            Outcome::Cancelled | Outcome::Moot => self.reported_held = None,
-            _ => self.raise_outlier_score(now, 1.0),
+            Outcome::Ok => (self.reported_in_flight, self.cost_since_report) = (load.in_flight, 0.0),
+            Outcome::Full => self.reported_in_flight = Some(FULL_IN_FLIGHT),
+            Outcome::Cancelled | Outcome::Moot => self.reported_in_flight = None,
+            _ => self.raise_outlier_score(now, FAILURE_SCORE),
         }
         self.reported_at = now;
     }
 
-    pub fn overdue(&mut self, now: TenthMillis, sent: TenthMillis, terms: &BalancerConfig) {
-        // A later one was answered: this is heavy, or its connection silent, and no overload.
-        if sent >= self.answered_sent {
-            self.halve(terms);
-            // Silent since that attempt left: perhaps it takes requests and answers none.
-            if self.answered < sent {
-                self.raise_outlier_score(now, 1.0);
+    /// Records that an attempt has taken longer than expected and is still in flight.
+    pub fn record_overdue(&mut self, now: TenthMillis, sent_at: TenthMillis, config: &BalancerConfig) {
+        // If a later attempt was answered, this one is heavy or its connection is dead; the upstream is not overloaded.
+        if sent_at >= self.answered_sent_at {
+            self.halve_in_flight_limit(config);
+            // No answer at all since then: the upstream may accept requests and never answer them.
+            if self.answered_at < sent_at {
+                self.raise_outlier_score(now, FAILURE_SCORE);
             }
         }
     }
 
-    fn halve(&mut self, terms: &BalancerConfig) {
-        self.cap = (self.cap / 2.0).max(terms.own_share(self.entry.capacity)).max(1.0);
+    fn halve_in_flight_limit(&mut self, config: &BalancerConfig) {
+        let min_limit = config.own_share(self.entry.capacity);
+        self.in_flight_limit = (self.in_flight_limit / 2.0).max(min_limit).max(1.0);
     }
 
-    /// Grows by its own half too, so that an upstream that fails each careful try is tried ever less often.
+    /// The score also grows in proportion to itself, so that an upstream which fails each trial request is tried less and
+    /// less often.
     fn raise_outlier_score(&mut self, now: TenthMillis, step: f64) {
-        let level = self.outlier_score.at(now, FADE) * (1.0 + step / 2.0) + step;
-        self.outlier_score = Decaying { level: level.min(4.0 * EJECTED), at: now };
+        let level = self.outlier_score.value_at(now, OUTLIER_HALF_LIFE) * (1.0 + step / 2.0) + step;
+        self.outlier_score = DecayingLevel { level: level.min(MAX_OUTLIER_SCORE), updated_at: now };
     }
 }
 
-/// What is seen of the upstreams of one zone together.
+/// What this balancer knows of the upstreams of one zone together.
 #[derive(Default)]
 pub struct Zone {
     pub pace: Pace,
-    pub outlier_score: Decaying,
-    pub answered: TenthMillis,
+    pub outlier_score: DecayingLevel,
+    /// When an upstream of the zone last answered.
+    pub answered_at: TenthMillis,
 }
 
 impl Zone {
-    /// A zone that is cut off is judged as a whole: the failures of each of its upstreams tell far too late.
-    pub fn unanswered(&mut self, now: TenthMillis, sent: TenthMillis) {
-        if self.answered < sent {
-            self.outlier_score.add(now, FADE, ZONE_STEP);
-            self.outlier_score.level = self.outlier_score.level.min(MOST_ZONE_SCORE);
+    /// Records an attempt without an answer. A zone that is cut off is scored as a whole, because the failures of each of
+    /// its upstreams alone show that far too late.
+    pub fn record_unanswered(&mut self, now: TenthMillis, sent_at: TenthMillis) {
+        if self.answered_at < sent_at {
+            self.outlier_score.add(now, OUTLIER_HALF_LIFE, ZONE_UNANSWERED_SCORE);
+            self.outlier_score.level = self.outlier_score.level.min(MAX_ZONE_SCORE);
         }
     }
 }
