--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,4 +1,5 @@
-//! All decisions of the balancer: events in, actions out, without I/O or a clock. docs/design.md explains them.
+//! All decisions of the balancer: events in, actions out, without I/O or a clock. docs/design.md explains
+//! them.
 
 use nanorand::WyRand;
 
@@ -30,12 +31,13 @@
 const RATE_WINDOW: TenthMillis = 10 * SECOND;
 /// The number of samples in a running mean over many upstreams.
 const RUNNING_MEAN_SAMPLES: f64 = 32.0;
-/// The bounds of plausible capacities. A single answer from an upstream with any other would distort the pace of all.
+/// The bounds of plausible capacities. A single answer from an upstream with any other would distort the pace
+/// of all.
 const MIN_CAPACITY: f64 = 0.01;
 const MAX_CAPACITY: f64 = 1e4;
 
-/// The hedge budget pays for further attempts while one is in flight: what each request served in time adds, and how much
-/// can be saved up.
+/// The hedge budget pays for further attempts while one is in flight: what each request served in time adds,
+/// and how much can be saved up.
 const HEDGES_PER_TIMELY_REQUEST: f64 = 0.1;
 const MAX_HEDGE_BUDGET: f64 = 4.0;
 
@@ -112,8 +114,8 @@
             }
             Event::ListConfirmed { at } => self.lease.renew(at),
             Event::DiscoveryAddressChanged => self.lease.change_address(now),
-            // The balancer handles lists before it passes events on, and timers by the time alone; messages of peers are
-            // not used.
+            // The balancer handles lists before it passes events on, and timers by the time alone; messages
+            // of peers are not used.
             Event::ListUpdate(_) | Event::TimerFired { .. } | Event::PeerMessage { .. } => {}
         }
     }
@@ -139,7 +141,8 @@
         self.close_request(number, actions);
     }
 
-    /// Takes an ended attempt into the estimates of response times, of the concurrency limit, and of its upstream and zone.
+    /// Takes an ended attempt into the estimates of response times, of the concurrency limit, and of its
+    /// upstream and zone.
     fn record_ended_attempt(
         &mut self,
         now: TenthMillis,
@@ -148,7 +151,8 @@
     ) {
         let &EndedAttempt { upstream, outcome, duration, .. } = ended;
         let zone = self.fleet.zones.entry(self.fleet.upstreams[upstream].entry.zone).or_default();
-        // If its whole zone has not answered since it was sent, a timeout shows neither a response time nor an overload.
+        // If its whole zone has not answered since it was sent, a timeout shows neither a response time nor
+        // an overload.
         let zone_is_silent = outcome == Outcome::TimedOut && zone.answered_at < now.saturating_sub(duration);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) && !zone_is_silent {
             self.response_times.record(now, duration);
@@ -173,8 +177,8 @@
         let capacity = entry.capacity.clamp(MIN_CAPACITY, MAX_CAPACITY);
         let cost_by_capacity = cost / capacity;
         let zone = self.fleet.zones.entry(entry.zone).or_default();
-        // The time of the way there and back counts as cost: otherwise that of a small request would look like an overload
-        // of its upstream.
+        // The time of the way there and back counts as cost: otherwise that of a small request would look
+        // like an overload of its upstream.
         let way = zone.pace.min_duration;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
             zone.record_unanswered(now, now.saturating_sub(duration));
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -1,4 +1,5 @@
-//! The [`Balancer`]: the order of steps after each batch of events, and the table of upstreams with their removal.
+//! The [`Balancer`]: the order of steps after each batch of events, and the table of upstreams with their
+//! removal.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -107,7 +108,8 @@
         actions.push(Action::Log { text: text.into() });
     }
 
-    /// Puts changes of the configuration in force. Requests that are already open keep the values that they arrived under.
+    /// Puts changes of the configuration in force. Requests that are already open keep the values that they
+    /// arrived under.
     pub fn apply(&mut self, changes: &[ConfigChange]) {
         let Dispatcher { config, quotas, max_class_value, .. } = &mut self.dispatcher;
         changes.iter().for_each(|change| config.apply(change));
@@ -183,9 +185,9 @@
         })
     }
 
-    /// Forgets upstreams that have been gone for long, so that the table doesn't grow with each upstream that ever existed.
-    /// They are kept as long as an upstream may be cold: one that came back sooner would otherwise get its budget of cold
-    /// work twice.
+    /// Forgets upstreams that have been gone for long, so that the table doesn't grow with each upstream that
+    /// ever existed. They are kept as long as an upstream may be cold: one that came back sooner would
+    /// otherwise get its budget of cold work twice.
     fn forget_gone_upstreams(&mut self, now: TenthMillis) {
         let keep_time = self.dispatcher.config.cold_start.warm_up_time.max(SECOND);
         let gone_before = GoneUpstream { since: now.saturating_sub(keep_time), index: 0 };
--- a/src/balance/discovery.rs
+++ b/src/balance/discovery.rs
@@ -9,19 +9,22 @@
 
 /// The time of the list service that one balancer's call may take.
 const LIST_CALL_TIME: TenthMillis = 600;
-/// The longest time until an unanswered call is known to be unanswered. The lease on the list is renewed through an outage
-/// only if each call that shows the outage has ended before the lease from the call before it expires.
+/// The longest time until an unanswered call is known to be unanswered. The lease on the list is renewed
+/// through an outage only if each call that shows the outage has ended before the lease from the call before
+/// it expires.
 const MAX_UNANSWERED_TIME: TenthMillis = 23 * SECOND / 10;
-/// The longest waits before a call: the first one, or one after an answered call; one after an unanswered watch; one after
-/// discovery was unreachable; and the first one where nothing may be sent until it is answered.
+/// The longest waits before a call: the first one, or one after an answered call; one after an unanswered
+/// watch; one after discovery was unreachable; and the first one where nothing may be sent until it is
+/// answered.
 const MAX_FIRST_WAIT: TenthMillis = 7 * SECOND / 2;
 const MAX_WAIT_AFTER_WATCH: TenthMillis = 27 * SECOND / 10;
 const MAX_WAIT_AFTER_UNREACHABLE: TenthMillis = 3 * SECOND / 2;
 const MAX_WAIT_WITHOUT_LEASE: TenthMillis = 3 * SECOND / 10;
 /// The upper end of a spread of waits is at least this, however few the balancers are.
 const MIN_SPREAD: TenthMillis = 3 * SECOND / 2;
-/// The mean wait after a first refusal where a second of the lease is left: this much for each balancer, between the
-/// minimum and the maximum. Each further refusal doubles the wait, up to `MAX_RETRY_DOUBLINGS` times.
+/// The mean wait after a first refusal where a second of the lease is left: this much for each balancer,
+/// between the minimum and the maximum. Each further refusal doubles the wait, up to `MAX_RETRY_DOUBLINGS`
+/// times.
 const RETRY_WAIT_PER_BALANCER: TenthMillis = 200;
 const MIN_RETRY_WAIT: TenthMillis = SECOND / 5;
 const MAX_RETRY_WAIT: TenthMillis = SECOND;
@@ -42,9 +45,9 @@
 impl ListCalls {
     /// Schedules the next call after the last one ended with `last`.
     ///
-    /// Calls are spread at random, because balancers that all have to call at once would make each other's calls fail. They
-    /// are never spread so far that an available list arrives after the lease on the last one has expired. `lease_left` is
-    /// the time until that.
+    /// Calls are spread at random, because balancers that all have to call at once would make each other's
+    /// calls fail. They are never spread so far that an available list arrives after the lease on the last
+    /// one has expired. `lease_left` is the time until that.
     pub fn schedule(
         &mut self,
         now: TenthMillis,
@@ -104,8 +107,9 @@
         }
     }
 
-    /// The balancers together retry often enough that the service is hardly idle while one of them waits. A balancer whose
-    /// lease ends sooner retries sooner, and all retry less often the longer the service refuses most calls.
+    /// The balancers together retry often enough that the service is hardly idle while one of them waits. A
+    /// balancer whose lease ends sooner retries sooner, and all retry less often the longer the service
+    /// refuses most calls.
     fn retry_waits(&self, lease_left: Option<TenthMillis>, balancer_count: u32) -> Range<TenthMillis> {
         let wait_per_call =
             (RETRY_WAIT_PER_BALANCER * u64::from(balancer_count)).clamp(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -10,14 +10,14 @@
 };
 use crate::{Action, DedupScope, Effect, GiveUpReason, TenthMillis};
 
-/// The number of waiting requests that are tried in their order, so that one which only some upstreams may take doesn't
-/// block all others.
+/// The number of waiting requests that are tried in their order, so that one which only some upstreams may
+/// take doesn't block all others.
 const MAX_TRIED_REQUESTS: usize = 4;
-/// An attempt is overdue after the high quantile of response times, or after this multiple of the mean pace for its cost
-/// where that is longer.
+/// An attempt is overdue after the high quantile of response times, or after this multiple of the mean pace
+/// for its cost where that is longer.
 const OVERDUE_PACE_FACTOR: f64 = 2.0;
-/// The weight of an upstream in another zone, where both zones are equally fast; it grows exponentially with the logarithm
-/// of the own zone's slowdown, and has a minimum.
+/// The weight of an upstream in another zone, where both zones are equally fast; it grows exponentially with
+/// the logarithm of the own zone's slowdown, and has a minimum.
 const OTHER_ZONE_WEIGHT: f64 = 0.1;
 const MIN_OTHER_ZONE_WEIGHT: f64 = 0.03;
 const ZONE_SLOWDOWN_EXPONENT: f64 = 3.0;
@@ -26,20 +26,22 @@
 /// For a request of at least this multiple of the mean cost, two upstreams are probed for their load.
 const PROBE_COST_FACTOR: f64 = 1.0;
 /// How long a request waits for the answers of both probes, and for that of one.
-const BOTH_PROBES_TIME: TenthMillis = 250;
-const ONE_PROBE_TIME: TenthMillis = 1500;
+const BOTH_PROBES_TIMEOUT: TenthMillis = 250;
+const ONE_PROBE_TIMEOUT: TenthMillis = 1500;
 /// A load report younger than this saves a probe.
-const REPORT_FRESH_TIME: TenthMillis = 1000;
-/// The part of the concurrency limit that is reserved for requests of higher value: the exponent of its growth with the
-/// difference in value, and its maximum.
+const MAX_FRESH_REPORT_AGE: TenthMillis = 1000;
+/// The part of the concurrency limit that is reserved for requests of higher value: the exponent of its
+/// growth with the difference in value, and its maximum.
 const RESERVE_EXPONENT: i32 = 4;
 const MAX_RESERVED_SHARE: f64 = 0.75;
-/// The lowest concurrency limit where upstreams can be probed: the probes protect them well enough from that few attempts.
+/// The lowest concurrency limit where upstreams can be probed: the probes protect them well enough from that
+/// few attempts.
 const MIN_LIMIT_WITH_PROBES: f64 = 3.0;
-/// The fraction of the load that would make a cold upstream collapse which this balancer's share of it may reach.
+/// The budget of a cold upstream, as a fraction of this balancer's share of the load at which the upstream
+/// collapses.
 const COLD_BUDGET_FRACTION: f64 = 0.35;
 /// The cost of a new connection to a cold upstream, as a multiple of the mean cost of a request.
-const NEW_CONNECTION_COST: f64 = 0.1;
+const NEW_CONNECTION_COST_FACTOR: f64 = 0.1;
 
 impl Dispatcher {
     /// Sends one waiting request or gives one up; false when none can be sent now.
@@ -85,7 +87,8 @@
         actions: &mut Vec<Action>,
     ) {
         self.dequeue(number);
-        // Where no request waits at the upstream, a late answer costs the others nothing and is better than none.
+        // Where no request waits at the upstream, a late answer costs the others nothing and is better than
+        // none.
         let has_queue = self.fleet.reported_cost(now, upstream) >= self.fleet.costs.mean();
         if has_queue && self.would_be_late(now, &self.queue.requests[&number], upstream) {
             self.give_up(number, GiveUpReason::ForeseenLate, actions);
@@ -94,9 +97,9 @@
         }
     }
 
-    /// Whether the concurrency limit allows one more attempt of this request. The last part of the limit is reserved for
-    /// requests of higher value: with little traffic only one request waits at a time, and an order among the waiting ones
-    /// would not favour them.
+    /// Whether the concurrency limit allows one more attempt of this request. The last part of the limit is
+    /// reserved for requests of higher value: with little traffic only one request waits at a time, and an
+    /// order among the waiting ones would not favour them.
     pub fn is_below_limit(&self, request: &Request) -> bool {
         let min_limit = if self.config.probing { MIN_LIMIT_WITH_PROBES } else { 0.0 };
         let limit = (1.0 - self.reserved_share(request)) * self.fleet.concurrency_limit;
@@ -105,6 +108,7 @@
     }
 
     /// Whether the reported load of the upstream and the request's own work take longer than the time left.
+    /// Without probes there are no reports, and no request is foreseen to be late.
     fn would_be_late(&self, now: TenthMillis, request: &Request, upstream: UpstreamIndex) -> bool {
         let time_left = request.sla_end.saturating_sub(now) as f64;
         let cost_in_time = time_left * self.fleet.speed(upstream);
@@ -145,9 +149,11 @@
         self.least_loaded(now, if answered.is_empty() { &drawn } else { &answered }, cost)
     }
 
-    /// The candidates that may take a request, from the best group that has some: first the candidates for its weight, then
-    /// the others; first only those that are not ejected, neither alone nor with their zone, then those of ejected zones.
-    /// None where no candidate may take it; empty where only ejected ones are busy or excluded too.
+    /// The candidates that may take a request, from the best group that has some: first the candidates for
+    /// its weight, then the others; first only those that are not ejected, neither alone nor with their zone,
+    /// then those of ejected zones. None where enough candidates are not ejected, so that the request waits
+    /// for one of them. Otherwise ejected candidates count too, and the result is empty where none of them is
+    /// free.
     fn eligible_upstreams(&self, now: TenthMillis, request: &Request) -> Option<Vec<UpstreamIndex>> {
         let (mut preferred, mut others) = self.fleet.candidates.split_at(self.fleet.light_count);
         if request.is_heavy && !others.is_empty() {
@@ -172,7 +178,8 @@
             }
         }
         if eligible.is_empty() {
-            // Nearly all candidates are ejected: the fault may be the balancer's own, and requests still have to be sent.
+            // Nearly all candidates are ejected: the fault may be the balancer's own, and requests still have
+            // to be sent.
             let candidates = self.fleet.candidates.iter().copied();
             eligible.extend(candidates.filter(|index| self.may_send_to(now, request, *index, false)));
         }
@@ -187,8 +194,9 @@
         zone_score.max(upstream.outlier_score.value_at(now, OUTLIER_HALF_LIFE)) < EJECTION_SCORE
     }
 
-    /// Whether an upstream is in the request's deduplication scope, below its in-flight limit, within its cold budget and
-    /// not trying the request already; with `excludes_tried`, not an upstream that ever tried it either.
+    /// Whether an upstream is in the request's deduplication scope, below its in-flight limit, within its
+    /// cold budget and not trying the request already; with `excludes_tried`, not an upstream that ever tried
+    /// it either.
     fn may_send_to(
         &self,
         now: TenthMillis,
@@ -230,24 +238,24 @@
         }
         for &index in drawn {
             let upstream = &self.fleet.upstreams[index];
-            if upstream.reported_at + REPORT_FRESH_TIME <= now {
+            if upstream.reported_at + MAX_FRESH_REPORT_AGE <= now {
                 actions.push(Action::Probe { upstream: upstream.entry.upstream.clone() });
             }
         }
         request.probes = ProbeRound { started_at: now, upstreams: drawn.to_vec() };
-        let alarms = [BOTH_PROBES_TIME, ONE_PROBE_TIME]
+        let alarms = [BOTH_PROBES_TIMEOUT, ONE_PROBE_TIMEOUT]
             .map(|time| Reverse(Alarm { at: now + time, request: number, kind: AlarmKind::ProbesOver }));
         self.queue.alarms.extend(alarms);
     }
 
-    /// The probed upstreams whose load is known; none while more answers are awaited. Some upstreams let a probe wait in
-    /// their queue like a request, so that the first one to answer has the shortest queue.
+    /// The probed upstreams whose load is known; none while more answers are awaited. Some upstreams let a
+    /// probe wait in their queue like a request, so that the first one to answer has the shortest queue.
     fn answered_probes(&self, now: TenthMillis, probes: &ProbeRound) -> Option<Vec<UpstreamIndex>> {
         let has_answered = |index: &&UpstreamIndex| {
-            self.fleet.upstreams[**index].reported_at + REPORT_FRESH_TIME > probes.started_at
+            self.fleet.upstreams[**index].reported_at + MAX_FRESH_REPORT_AGE > probes.started_at
         };
         let answered: Vec<_> = probes.upstreams.iter().filter(has_answered).copied().collect();
-        let max_wait = if answered.is_empty() { ONE_PROBE_TIME } else { BOTH_PROBES_TIME };
+        let max_wait = if answered.is_empty() { ONE_PROBE_TIMEOUT } else { BOTH_PROBES_TIMEOUT };
         let awaits_more = answered.len() < probes.upstreams.len() && now - probes.started_at < max_wait;
         (!awaits_more).then_some(answered)
     }
@@ -257,8 +265,8 @@
         indices.iter().copied().min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// Draws two upstreams, between which their load decides. Faster ones are more likely; requests with the same affinity
-    /// key draw the same at all balancers.
+    /// Draws two upstreams, between which their load decides. Faster ones are more likely; requests with the
+    /// same affinity key draw the same at all balancers.
     fn draw_two(
         &self,
         now: TenthMillis,
@@ -267,7 +275,8 @@
         random: u64,
     ) -> Vec<UpstreamIndex> {
         let key = request.affinity_key.filter(|_| self.config.warm_keys);
-        // With less time left than twice what its work takes, two upstreams drawn at random may both be too slow.
+        // With less time left than twice what its work takes, two upstreams drawn at random may both be too
+        // slow.
         let usual_time = OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * request.cost;
         let is_urgent = usual_time > request.sla_end.saturating_sub(now) as f64;
         let priority = |index: UpstreamIndex| {
@@ -284,7 +293,8 @@
         by_priority.into_iter().map(|(_, index)| index).take(2).collect()
     }
 
-    /// The weight of an upstream's zone in the draw. Other zones get more requests the slower the own zone is in comparison.
+    /// The weight of an upstream's zone in the draw. Other zones get more requests the slower the own zone is
+    /// in comparison.
     fn zone_weight(&self, zone: u32, has_affinity: bool) -> f64 {
         if has_affinity || zone == self.config.own_zone {
             return 1.0;
@@ -297,8 +307,9 @@
         (OTHER_ZONE_WEIGHT * (ZONE_SLOWDOWN_EXPONENT * slowdown).exp()).clamp(MIN_OTHER_ZONE_WEIGHT, 1.0)
     }
 
-    /// The time that an upstream needs for its attempts in flight and one more of this cost, raised by its outlier score.
-    /// Attempts count by their cost, because a very heavy request has time enough only where work is done fast.
+    /// The time that an upstream needs for its attempts in flight and one more of this cost, raised by its
+    /// outlier score. Attempts count by their cost, because a very heavy request has time enough only where
+    /// work is done fast.
     fn load(&self, now: TenthMillis, index: UpstreamIndex, cost: f64) -> f64 {
         let upstream = &self.fleet.upstreams[index];
         let other_zone = if upstream.entry.zone == self.config.own_zone { 0.0 } else { 1.0 };
@@ -309,14 +320,14 @@
         total_cost / self.fleet.speed(index) * (1.0 + outlier_score)
     }
 
-    /// Whether a cold upstream may get this cost in the present window. Its budget is its part of the load that warm
-    /// upstreams bear (served cost by capacity). A rest of the budget that is less than a request is granted at random: one
-    /// request from each of many balancers would be hundreds in total.
+    /// Whether a cold upstream may get this cost in the present window. Its budget is its part of the load
+    /// that warm upstreams bear (served cost by capacity). A rest of the budget that is less than a request
+    /// is granted at random: one request from each of many balancers would be hundreds in total.
     fn is_within_cold_budget(&self, now: TenthMillis, index: UpstreamIndex, cost: f64) -> bool {
         let (cold, upstream) = (&self.config.cold_start, &self.fleet.upstreams[index]);
         let Some(age) = upstream.age_while_cold(now, &self.config) else { return true };
-        // Relative to the present capacity: if most candidates are cold, the load relative to their full capacity would be
-        // far too low an estimate of what warm upstreams bear.
+        // Relative to the present capacity: if most candidates are cold, the load relative to their full
+        // capacity would be far too low an estimate of what warm upstreams bear.
         let present_speed = |index: &UpstreamIndex| {
             let share = self.fleet.upstreams[*index].present_capacity_share(now, &self.config);
             share * self.fleet.speed(*index)
@@ -335,10 +346,10 @@
         upstream.recent_cost.value_at(now, window_length) + cost <= budget + uniform * cost
     }
 
-    /// The cost of an attempt to a cold upstream: it may need a new connection, and light requests are heavier there than
-    /// their cost hint says.
+    /// The cost of an attempt to a cold upstream: it may need a new connection, and light requests are
+    /// heavier there than their cost hint says.
     fn cost_if_cold(&self, cost: f64) -> f64 {
-        cost + NEW_CONNECTION_COST * self.fleet.costs.mean()
+        cost + NEW_CONNECTION_COST_FACTOR * self.fleet.costs.mean()
     }
 
     fn send_attempt(
@@ -359,8 +370,8 @@
         } else if request.has_attempt_in_flight() {
             self.hedge_budget -= 1.0;
         }
-        // By its cost and its way: a heavy request or a long way is no sign of trouble, and a needless repeat of a heavy
-        // request is the most expensive one.
+        // By its cost and its way: a heavy request or a long way is no sign of trouble, and a needless repeat
+        // of a heavy request is the most expensive one.
         let entry = &self.fleet.upstreams[upstream].entry;
         let way = self.fleet.zones.get(&entry.zone).map_or(0.0, |zone| zone.pace.min_duration);
         let usual_time = (OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * (cost + way)) as TenthMillis;
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -5,21 +5,23 @@
 use super::SECOND;
 use crate::{BalancerConfig, TenthMillis};
 
-/// The quantile of response times after which an attempt counts as slow, and the probability of an answer in time that
-/// the number of planned attempts aims at: with these two values, two attempts are enough.
+/// The quantile of response times after which an attempt counts as slow, and the probability of an answer in
+/// time that the number of planned attempts aims at: with these two values, two attempts are enough.
 const HIGH_QUANTILE: f64 = 0.95;
 const TARGET_RELIABILITY: f64 = 0.99;
-/// A request is given up when fewer than this fraction of recent answers would come within the time that it has left.
+/// A request is given up when fewer than this fraction of recent answers would come within the time that it
+/// has left.
 const LOW_QUANTILE: f64 = 0.1;
 /// Old samples lose half their weight after this many new ones, or after `WINDOW_TIME`.
 pub const WINDOW_SAMPLES: u32 = 1000;
 const WINDOW_TIME: TenthMillis = 5 * SECOND;
-/// `WINDOW_TIME` counts only with this many new samples: with little traffic the window would otherwise never hold enough
-/// of them.
+/// `WINDOW_TIME` counts only with this many new samples: with little traffic the window would otherwise never
+/// hold enough of them.
 const MIN_WINDOW_SAMPLES: u32 = 32;
 /// The quantiles are computed anew after this many samples, and not from fewer.
 const QUANTILE_UPDATE_SAMPLES: u32 = 16;
-/// The bins of the histogram: 8 for each power of two of tenths of a millisecond, up to 2^20 of them (105 seconds).
+/// The bins of the histogram: 8 for each power of two of tenths of a millisecond, up to 2^20 of them (105
+/// seconds).
 const GROUPING_POWER: u8 = 3;
 const MAX_DURATION_POWER: u8 = 20;
 /// The number of answers in the running mean of one upstream's pace.
@@ -59,8 +61,8 @@
 }
 
 impl ResponseTimes {
-    /// Until answers come, half the shortest SLA time stands for the high quantile: that is late for most answers, and
-    /// early enough for a second attempt.
+    /// Until answers come, half the shortest SLA time stands for the high quantile: that is late for most
+    /// answers, and early enough for a second attempt.
     pub fn new(config: &BalancerConfig) -> Self {
         let shortest_sla_time = config.classes.iter().map(|class| class.sla_time).min().unwrap_or(SECOND);
         ResponseTimes {
@@ -187,7 +189,8 @@
     }
 }
 
-/// Response time per unit of cost, as a geometric mean of the last answers, which a few late ones hardly change.
+/// Response time per unit of cost, as a geometric mean of the last answers, which a few late ones hardly
+/// change.
 #[derive(Default)]
 pub struct Pace {
     /// The mean of the logarithms.
@@ -217,13 +220,13 @@
     /// Adds an answer of one upstream, and returns its pace as a multiple of its best pace.
     pub fn record_slowdown(&mut self, duration: TenthMillis, cost: f64) -> f64 {
         let pace = self.record(duration, cost, UPSTREAM_PACE_SAMPLES);
-        // Costs are in time of a standard core. An upstream that has been loaded since it was first seen must not take
-        // the pace under that load for its best. A cost of at most 1 is no usable hint.
+        // Costs are in time of a standard core. An upstream that has been loaded since it was first seen must
+        // not take the pace under that load for its best. A cost of at most 1 is no usable hint.
         let unloaded = if cost > 1.0 { MAX_UNLOADED_PACE } else { pace };
         let seen = if self.samples < UPSTREAM_PACE_SAMPLES { unloaded } else { pace.min(unloaded) };
         self.slowdown_samples += 1;
-        // The least of thousands of answers is an outlier: if it were kept forever, each pace would look like a slowdown
-        // at the end of a day.
+        // The least of thousands of answers is an outlier: if it were kept forever, each pace would look like
+        // a slowdown at the end of a day.
         if self.slowdown_samples.is_multiple_of(BEST_PACE_SAMPLES) {
             (self.previous_best, self.best) = (Some(self.best), seen);
         }
--- a/src/balance/lease.rs
+++ b/src/balance/lease.rs
@@ -3,18 +3,19 @@
 use super::SECOND;
 use crate::{BalancerConfig, ListSource, TenthMillis};
 
-/// A balancer counts as notified of a change this long after discovery has it, whether or not a call has delivered it.
-/// Set by the rules of the operators.
+/// A balancer counts as notified of a change this long after discovery has it, whether or not a call has
+/// delivered it. Set by the rules of the operators.
 const NOTIFICATION_TIME: TenthMillis = 6 * SECOND;
-/// After the balancer has learnt of discovery's new address, it counts as notified of all that is known there this much
-/// later. Set by the rules of the operators.
+/// After the balancer has learnt of discovery's new address, it counts as notified of all that is known there
+/// this much later. Set by the rules of the operators.
 const ADDRESS_CHANGE_NOTIFICATION_TIME: TenthMillis = 4 * SECOND;
-/// The longest time for which the operating system may suspend the process between a reading of the clock and a write to
-/// a socket.
+/// The longest time for which the operating system may suspend the process between a reading of the clock and
+/// a write to a socket.
 const MAX_PROCESS_PAUSE: TenthMillis = 1500;
 
-/// A lease on the list. When it has expired nothing is sent, since an upstream may have been draining for longer than its
-/// grace. The lease begins with the first confirmation of the list; a front end that never confirms the list has none.
+/// A lease on the list. When it has expired nothing is sent, since an upstream may have been draining for
+/// longer than its grace. The lease begins with the first confirmation of the list; a front end that never
+/// confirms the list has none.
 #[derive(Default)]
 pub struct ListLease {
     /// The latest time at which the list was known to be correct.
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -8,8 +8,8 @@
 use super::{Dispatcher, RATE_HALF_LIFE, UpstreamIndex};
 use crate::{Action, AttemptLimits, DedupScope, Effect, GiveUpReason, RequestId, TenthMillis};
 
-/// Requests are dropped when the cost of the waiting ones is more than the recent rate would serve in a quarter of the time
-/// left to the one of least value.
+/// Requests are dropped when the cost of the waiting ones is more than the recent rate would serve in a
+/// quarter of the time left to the one of least value.
 const OVERLOAD_FACTOR: f64 = 4.0;
 
 /// A number that the balancer gives each request in the order of arrival.
@@ -37,7 +37,8 @@
 #[derive(Default)]
 pub struct Request {
     pub id: RequestId,
-    /// The effect and the limits as they were when the request arrived; later changes of the configuration don't apply.
+    /// The effect and the limits as they were when the request arrived; later changes of the configuration
+    /// don't apply.
     pub effect: Effect,
     pub limits: AttemptLimits,
     /// The expected work, as time of a standard core in tenths of a millisecond.
@@ -102,7 +103,8 @@
     WaitOver,
     /// The attempt of this number takes longer than expected.
     AttemptOverdue(u32),
-    /// Probes have had their time. The request is tried anew after each batch of events; the alarm only causes one.
+    /// Probes have had their time. The request is tried anew after each batch of events; the alarm only
+    /// causes one.
     ProbesOver,
 }
 
@@ -146,14 +148,16 @@
         self.queue.waiting_cost -= request.cost;
     }
 
-    /// Under overload, drops the waiting requests of least value at once, instead of after a wait that serves nobody.
+    /// Under overload, drops the waiting requests of least value at once, instead of after a wait that serves
+    /// nobody.
     pub fn shed_load(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some(&(_, _, number)) = self.queue.by_value.first() {
             let request = &self.queue.requests[&number];
             let served_cost_rate = self.fleet.served_cost_rate.value_at(now, RATE_HALF_LIFE);
             let latest_send = request.sla_end.saturating_sub(self.response_times.high_quantile);
             let time_left = latest_send.saturating_sub(now) as f64;
-            // A request that is below its concurrency limit waits only for answers to probes, and delays no other.
+            // A request that is below its concurrency limit waits only for answers to probes, and delays no
+            // other.
             let waits_for_probes = self.config.probing && self.is_below_limit(request);
             let keeps_up = OVERLOAD_FACTOR * self.queue.waiting_cost <= time_left * served_cost_rate;
             if keeps_up || served_cost_rate == 0.0 || waits_for_probes {
@@ -163,8 +167,9 @@
         }
     }
 
-    /// Queues a second attempt beside the one in flight. The hedge budget, which requests served in time pay into, limits
-    /// such attempts: otherwise hedges would increase the overload whose effect they are meant to hide.
+    /// Queues a second attempt beside the one in flight. The hedge budget, which requests served in time pay
+    /// into, limits such attempts: otherwise hedges would increase the overload whose effect they are meant
+    /// to hide.
     pub fn enqueue_hedge(&mut self, now: TenthMillis, number: RequestNumber) {
         let request = &self.queue.requests[&number];
         if request.limits.hedging && request.may_be_resent() && self.hedge_budget >= 1.0 {
@@ -184,8 +189,8 @@
         }
     }
 
-    /// The final answer to a request that can't be served: a rejection where the request has certainly had no effect or
-    /// may be repeated, and a failure otherwise.
+    /// The final answer to a request that can't be served: a rejection where the request has certainly had no
+    /// effect or may be repeated, and a failure otherwise.
     pub fn give_up(&mut self, number: RequestNumber, reason: GiveUpReason, actions: &mut Vec<Action>) {
         let request = &self.queue.requests[&number];
         let may_reject = match request.effect {
--- a/src/balance/subset.rs
+++ b/src/balance/subset.rs
@@ -7,8 +7,8 @@
 };
 use crate::{BalancerConfig, Stage, TenthMillis, UpstreamEntry, UpstreamId};
 
-/// The size of the subset, for each request that has arrived within the last ten seconds, and at least. It is rounded
-/// down to a power of two.
+/// The size of the subset, for each request that has arrived within the last ten seconds, and at least. It is
+/// rounded down to a power of two.
 const UPSTREAMS_PER_ARRIVAL: f64 = 0.15;
 const MIN_SUBSET_SIZE: usize = 8;
 /// The subset shrinks only when the arrivals call for less than this fraction of it.
@@ -18,15 +18,15 @@
 /// The factors on the concurrency limit after an attempt that waited too long, and after one that did not.
 const LIMIT_DECREASE_FACTOR: f64 = 0.93;
 const LIMIT_INCREASE_FACTOR: f64 = 1.02;
-/// The concurrency limit grows only while at least this fraction of it is in use. Requests of the lowest value may use a
-/// smaller fraction only, so that they alone never raise it.
+/// The concurrency limit grows only while at least this fraction of it is in use. Requests of the lowest
+/// value may use a smaller fraction only, so that they alone never raise it.
 const MIN_USE_TO_INCREASE: f64 = 0.33;
 /// The time constant of the mean of attempts in flight, in tenths of a millisecond.
 const MEAN_IN_FLIGHT_TIME: f64 = 2.0 * SECOND as f64;
 /// The half-life of the load that an upstream reported.
 const REPORT_HALF_LIFE: TenthMillis = 3 * SECOND;
-/// A zone or kind with this many answers differs from the mean pace of all by half of what it shows: few answers are too
-/// noisy to be trusted in full.
+/// The difference between the pace of a zone or kind and that of all counts by half with this many answers,
+/// and nearly in full with many: a few answers are too noisy to rely on.
 const PACE_PRIOR_SAMPLES: f64 = 4.0;
 
 /// A live upstream with its random position in this balancer's own order.
@@ -44,8 +44,8 @@
 pub struct Fleet {
     pub index_by_id: BTreeMap<UpstreamId, UpstreamIndex>,
     pub upstreams: Vec<Upstream>,
-    /// The upstreams in use, in an order that all balancers share: the first `light_count` are for light requests, the
-    /// others for heavy ones.
+    /// The upstreams in use, in an order that all balancers share: the first `light_count` are for light
+    /// requests, the others for heavy ones.
     pub candidates: Vec<UpstreamIndex>,
     pub light_count: usize,
     /// The wanted size of the subset.
@@ -118,14 +118,15 @@
         })
     }
 
-    /// The capacity corrected by the pace of all upstreams of its kind; a single upstream has too few answers to know its
-    /// own pace.
+    /// The capacity corrected by the pace of all upstreams of its kind; a single upstream has too few answers
+    /// to know its own pace.
     pub fn speed(&self, index: UpstreamIndex) -> f64 {
         let entry = &self.upstreams[index].entry;
         entry.capacity * (-self.log_slowdown(self.kind_paces.get(&entry.kind))).exp()
     }
 
-    /// The cost in flight at an upstream by its last report, plus what was sent there since. Decays with the report's age.
+    /// The cost in flight at an upstream by its last report, plus what was sent there since. Decays with the
+    /// report's age.
     pub fn reported_cost(&self, now: TenthMillis, index: UpstreamIndex) -> f64 {
         let upstream = &self.upstreams[index];
         let level = upstream
@@ -134,8 +135,8 @@
         DecayingLevel { level, updated_at: upstream.reported_at }.value_at(now, REPORT_HALF_LIFE)
     }
 
-    /// Changes the number of attempts in flight and updates its mean. By the mean, a limit of less than one attempt allows
-    /// one for a part of the time.
+    /// Changes the number of attempts in flight and updates its mean. By the mean, a limit of less than one
+    /// attempt allows one for a part of the time.
     pub fn update_in_flight(&mut self, now: TenthMillis, change: f64) {
         let elapsed = (now - self.in_flight_updated_at) as f64;
         self.mean_in_flight +=
@@ -143,8 +144,8 @@
         (self.in_flight_updated_at, self.in_flight) = (now, (self.in_flight + change).max(0.0));
     }
 
-    /// Lowers the concurrency limit after an attempt that waited too long, and raises it after others. The attempts at all
-    /// upstreams count together, since those at a single one are too few to show an overload.
+    /// Lowers the concurrency limit after an attempt that waited too long, and raises it after others. The
+    /// attempts at all upstreams count together, since those at a single one are too few to show an overload.
     pub fn adapt_concurrency_limit(&mut self, has_waited_too_long: bool, config: &BalancerConfig) {
         if has_waited_too_long {
             let min_limit = config.own_share(self.live_capacity());
@@ -154,9 +155,9 @@
         }
     }
 
-    /// Chooses as many candidates as get requests often enough to be known, up to half of them from the own zone: the
-    /// first live upstreams of this balancer's random order. So balancers use all upstreams alike, and a change of one
-    /// upstream replaces no other candidate.
+    /// Chooses as many candidates as get requests often enough to be known, up to half of them from the own
+    /// zone: the first live upstreams of this balancer's random order. So balancers use all upstreams alike,
+    /// and a change of one upstream replaces no other candidate.
     fn choose_subset(&mut self) {
         for index in std::mem::take(&mut self.relisted) {
             let upstream = &mut self.upstreams[index];
@@ -178,8 +179,8 @@
             indices.sort_by_key(|index| self.upstreams[*index].id_hash);
             indices
         };
-        // The own zone comes first: otherwise the one or two candidates for light requests would be in another zone for
-        // most balancers.
+        // The own zone comes first: otherwise the one or two candidates for light requests would be in
+        // another zone for most balancers.
         self.candidates = [
             first_of(&self.own_zone_ranking, from_own_zone),
             first_of(&self.other_zones_ranking, subset_size - from_own_zone),
@@ -189,7 +190,8 @@
         self.live_capacity = None;
     }
 
-    /// Chooses a new subset where the list or the traffic calls for one, and divides it between light and heavy requests.
+    /// Chooses a new subset where the list or the traffic calls for one, and divides it between light and
+    /// heavy requests.
     pub fn choose_candidates(&mut self, now: TenthMillis, config: &BalancerConfig) {
         let by_arrivals = UPSTREAMS_PER_ARRIVAL * self.recent_arrivals.value_at(now, RATE_HALF_LIFE);
         let rounded = MIN_SUBSET_SIZE.max((by_arrivals as usize + 1).next_power_of_two() / 2);
@@ -207,14 +209,14 @@
         self.divide_candidates();
     }
 
-    /// Gives light requests the first candidates, by their part of the cost and the candidates' speeds; light and heavy
-    /// requests get at least one candidate each.
+    /// Gives light requests the first candidates, by their part of the cost and the candidates' speeds; light
+    /// and heavy requests get at least one candidate each.
     fn divide_candidates(&mut self) {
         let total_speed: f64 = self.candidates.iter().map(|index| self.speed(*index)).sum();
         let mut light_speed_left = self.costs.light_part_of(total_speed);
-        // Undivided where no cost hint tells heavy requests from light ones. Undivided too where only a part of the list
-        // is in use: the candidates of different balancers overlap then, and light requests would wait behind heavy ones
-        // all the same.
+        // Undivided where no cost hint tells heavy requests from light ones. Undivided too where only a part
+        // of the list is in use: the candidates of different balancers overlap then, and light requests would
+        // wait behind heavy ones all the same.
         let is_undivided = self.costs.is_all_light() || self.is_partial;
         let is_for_light = |index: &&UpstreamIndex| {
             light_speed_left -= self.speed(**index);
--- a/src/balance/upstream.rs
+++ b/src/balance/upstream.rs
@@ -19,8 +19,8 @@
 /// What a failure adds to the outlier score, and what a malformed answer adds.
 const FAILURE_SCORE: f64 = 1.0;
 const SPOILT_SCORE: f64 = 0.25;
-/// What an attempt adds to its zone's outlier score if no answer has come from the zone since it was sent, and the highest
-/// score that such attempts can reach.
+/// What an attempt adds to its zone's outlier score if no answer has come from the zone since it was sent,
+/// and the highest score that such attempts can reach.
 const ZONE_UNANSWERED_SCORE: f64 = 0.5;
 const MAX_ZONE_SCORE: f64 = 3.0;
 /// A refused probe counts as a report of this many requests in flight.
@@ -106,8 +106,8 @@
         self.cost_in_flight = if self.in_flight == 0 { 0.0 } else { (self.cost_in_flight - cost).max(0.0) };
     }
 
-    /// Adapts the in-flight limit and the outlier score to the outcome of an attempt. `slow_after` is the duration from
-    /// which on an answer doesn't raise the limit.
+    /// Adapts the in-flight limit and the outlier score to the outcome of an attempt. `slow_after` is the
+    /// duration from which on an answer doesn't raise the limit.
     pub fn record_outcome(
         &mut self,
         now: TenthMillis,
@@ -130,13 +130,14 @@
             }
             // A later attempt was answered, as in `record_overdue`.
             Outcome::TimedOut if now.saturating_sub(duration) < self.answered_sent_at => {}
-            // By its load alone, an upstream whose queue is full and drops requests would look like the best choice.
+            // By its load alone, an upstream whose queue is full and drops requests would look like the best
+            // choice.
             Outcome::Full | Outcome::TimedOut => {
                 self.halve_in_flight_limit(config);
                 self.raise_outlier_score(now, FAILURE_SCORE);
             }
-            // Every upstream gives malformed answers now and then, so that one is no sign of ill health; a series of
-            // nothing else is.
+            // Every upstream gives malformed answers now and then, so that one is no sign of ill health; a
+            // series of nothing else is.
             Outcome::Spoilt => self.raise_outlier_score(now, SPOILT_SCORE),
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
                 self.raise_outlier_score(now, FAILURE_SCORE);
@@ -158,7 +159,8 @@
 
     /// Records that an attempt has taken longer than expected and is still in flight.
     pub fn record_overdue(&mut self, now: TenthMillis, sent_at: TenthMillis, config: &BalancerConfig) {
-        // If a later attempt was answered, this one is heavy or its connection is dead; the upstream is not overloaded.
+        // If a later attempt was answered, this one is heavy or its connection is dead; the upstream is not
+        // overloaded.
         if sent_at >= self.answered_sent_at {
             self.halve_in_flight_limit(config);
             // No answer at all since then: the upstream may accept requests and never answer them.
@@ -173,8 +175,8 @@
         self.in_flight_limit = (self.in_flight_limit / 2.0).max(min_limit).max(1.0);
     }
 
-    /// The score also grows in proportion to itself, so that an upstream which fails each trial request is tried less and
-    /// less often.
+    /// The score also grows in proportion to itself, so that an upstream which fails each trial request is
+    /// tried less and less often.
     fn raise_outlier_score(&mut self, now: TenthMillis, step: f64) {
         let level = self.outlier_score.value_at(now, OUTLIER_HALF_LIFE) * (1.0 + step / 2.0) + step;
         self.outlier_score = DecayingLevel { level: level.min(MAX_OUTLIER_SCORE), updated_at: now };
@@ -191,8 +193,8 @@
 }
 
 impl Zone {
-    /// Records an attempt without an answer. A zone that is cut off is scored as a whole, because the failures of each of
-    /// its upstreams alone show that far too late.
+    /// Records an attempt without an answer. A zone that is cut off is scored as a whole, because the
+    /// failures of each of its upstreams alone show that far too late.
     pub fn record_unanswered(&mut self, now: TenthMillis, sent_at: TenthMillis) {
         if self.answered_at < sent_at {
             self.outlier_score.add(now, OUTLIER_HALF_LIFE, ZONE_UNANSWERED_SCORE);
--- a/src/event.rs
+++ b/src/event.rs
@@ -15,9 +15,9 @@
 pub enum Event {
     /// A call to discovery has ended, with or without a list.
     ListUpdate(ListUpdate),
-    /// The list was correct at time `at`: discovery confirmed it, or discovery was unreachable for all balancers then,
-    /// so that no change can have been announced. A front end that never sends this event is trusted to deliver each
-    /// change of the list in time.
+    /// The list was correct at time `at`: discovery confirmed it, or discovery was unreachable for all
+    /// balancers then, so that no change can have been announced. A front end that never sends this event is
+    /// trusted to deliver each change of the list in time.
     ListConfirmed { at: TenthMillis },
     /// Discovery has another address from now on.
     DiscoveryAddressChanged,
@@ -78,8 +78,8 @@
     Restored(Rc<[UpstreamEntry]>),
     /// The call was refused, or its answer is not a valid list. The last list stays in force.
     Refused,
-    /// Discovery could not be reached, or the connection broke. The last list stays in force. Such a call takes no
-    /// processing time from the list service, unlike a refused one.
+    /// Discovery could not be reached, or the connection broke. The last list stays in force. Such a call
+    /// takes no processing time from the list service, unlike a refused one.
     Unreachable,
     /// A watch was not answered within its timeout. The last list stays in force.
     WatchTimedOut,
@@ -154,8 +154,9 @@
 }
 
 impl Load {
-    /// The load from the values of a report. Implausible values are dropped, so that no decision relies on them: those
-    /// that are negative, not a number or too high, and a queue that is longer than the requests in flight.
+    /// The load from the values of a report. Implausible values are dropped, so that no decision relies on
+    /// them: those that are negative, not a number or too high, and a queue that is longer than the requests
+    /// in flight.
     pub fn from_report(in_flight: Option<f64>, queued: Option<f64>, service_time_ms: Option<f64>) -> Self {
         let is_plausible = |value: &f64| (0.0..=MAX_PLAUSIBLE_REPORT).contains(value);
         let in_flight = in_flight.filter(is_plausible);
@@ -184,7 +185,8 @@
 pub enum GiveUpReason {
     /// No upstream is listed as live.
     NoUpstream,
-    /// The list has not been confirmed for so long that an upstream may have been draining for longer than its grace.
+    /// The list has not been confirmed for so long that an upstream may have been draining for longer than
+    /// its grace.
     StaleList,
     /// The time in which upstreams recognize a repeat of the request is over.
     WindowOver,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of an HTTP load balancer, without I/O, protocols or a clock.
 //!
-//! A front end translates what it observes into [`Event`]s, passes them in batches to a [`Balancer`] and carries out the
-//! [`Action`]s that the balancer returns. The module `balance` makes all decisions; the other modules hold the types of
-//! its input and output.
+//! A front end translates what it observes into [`Event`]s, passes them in batches to a [`Balancer`] and
+//! carries out the [`Action`]s that the balancer returns. The module `balance` makes all decisions; the other
+//! modules hold the types of its input and output.
 
 mod balance;
 mod event;
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -16,7 +16,8 @@
     pub tenants: Vec<Tenant>,
     /// The factor on the value of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_value: f64,
-    /// Whether an upstream that has served an affinity key lately has less work with further requests of that key.
+    /// Whether an upstream that has served an affinity key lately has less work with further requests of that
+    /// key.
     pub warm_keys: bool,
     /// The greatest number of attempts of a request.
     pub max_attempts: u32,
@@ -38,11 +39,11 @@
 pub enum ListSource {
     /// Changes are pushed; the balancer doesn't ask for them.
     Pushed,
-    /// An agent on the balancer's machine holds the list. The balancer counts as notified of all that the agent knows,
-    /// whether it has asked the agent or not.
+    /// An agent on the balancer's machine holds the list. The balancer counts as notified of all that the
+    /// agent knows, whether it has asked the agent or not.
     LocalAgent,
-    /// The balancers ask a service that all of them share. A balancer that has not asked for `max_poll_interval` counts
-    /// as notified.
+    /// The balancers ask a service that all of them share. A balancer that has not asked for
+    /// `max_poll_interval` counts as notified.
     Polled { max_poll_interval: TenthMillis },
 }
 
@@ -62,7 +63,8 @@
     /// A repeat does no harm.
     #[default]
     Idempotent,
-    /// The request has a deduplication key: upstreams of the scope drop a repeat for as long as they remember the key.
+    /// The request has a deduplication key: upstreams of the scope drop a repeat for as long as they remember
+    /// the key.
     Keyed { scope: DedupScope, key_ttl: TenthMillis },
     /// A repeat may take effect twice.
     NonIdempotent,
@@ -83,8 +85,8 @@
     pub quota_rps: f64,
 }
 
-/// How upstreams behave after their start. A cold upstream collapses when all balancers together send it more than
-/// `collapse_load_factor` times its present capacity over `collapse_window`.
+/// How upstreams behave after their start. A cold upstream collapses when all balancers together send it more
+/// than `collapse_load_factor` times its present capacity over `collapse_window`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ColdStart {
     /// The fraction of its full capacity that an upstream has at its start.
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,6 +1,7 @@
 //! The unit of time of the decisions, and its conversions from and to nanoseconds.
 
-/// A point in time or a duration, in whole tenths of a millisecond. Points in time count from an arbitrary start.
+/// A point in time or a duration, in whole tenths of a millisecond. Points in time count from an arbitrary
+/// start.
 pub type TenthMillis = u64;
 
 const NS_PER_TENTH_MILLI: u64 = 100_000;
