--- a/crates/pondlb-adapter/src/wire.rs
+++ b/crates/pondlb-adapter/src/wire.rs
@@ -206,11 +206,12 @@
     if kind == "UP" {
         let deployment =
             pondlb_terms::decode(fields.word("Config")?).map_err(|fault| format!("Config: {fault}"))?;
-        let place = |name| deployment.report.iter().position(|field| field == name);
-        let (classes, values) = (deployment.terms.classes.len() as u32, deployment.report.len());
+        let place = |name| deployment.load_report_fields.iter().position(|field| field == name);
+        let (classes, values) =
+            (deployment.balancer_config.classes.len() as u32, deployment.load_report_fields.len());
         let reading =
             Reading { held: place("rif"), waiting: place("q"), service: place("lat_ms"), values, classes };
-        let terms = Box::new(deployment.terms);
+        let terms = Box::new(deployment.balancer_config);
         return Ok(Line::Start { who, seed: fields.number("Salt")?, terms, reading });
     }
     let reading = reading(who).ok_or_else(|| unknown(who))?;
--- a/crates/pondlb-control-net/src/check.rs
+++ b/crates/pondlb-control-net/src/check.rs
@@ -33,9 +33,9 @@
 pub fn check_record(key: &Key, value: Option<&str>) -> Result<(), String> {
     check_shape(key, value)?;
     match (key.kind(), value) {
-        (Kind::Upstream, Some(value)) => Target::read(key.name(), value).map(drop),
+        (Kind::Upstream, Some(value)) => Target::from_record(key.name(), value).map(drop),
         (Kind::Upstream, None) => Ok(()),
-        _ => pondlb_terms::check(&SettingChange {
+        _ => pondlb_terms::check_change(&SettingChange {
             key: Cow::Borrowed(key.as_str()),
             value: value.map(Cow::Borrowed),
         }),
--- a/crates/pondlb-server/src/program/configuration.rs
+++ b/crates/pondlb-server/src/program/configuration.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use pondlb::TenthMillis;
-use pondlb_terms::{Applied, Fault, Links, SettingChange, Settings};
+use pondlb_terms::{AppliedChanges, ConfigError, ConnectionLimits, SettingChange, Settings};
 
 use super::service::connect_within;
 use crate::routing::{Carrier, Exchange};
@@ -23,8 +23,8 @@
         now: TenthMillis,
         changes: &[SettingChange],
         exchange: &mut Exchange<C>,
-    ) -> Result<(), Fault> {
-        let applied = self.settings.change(changes)?;
+    ) -> Result<(), ConfigError> {
+        let applied = self.settings.apply_records(changes)?;
         self.put_in_force(now, applied, exchange);
         Ok(())
     }
@@ -35,31 +35,36 @@
         now: TenthMillis,
         file: &Settings,
         exchange: &mut Exchange<C>,
-    ) -> Result<(), Fault> {
-        let difference = self.settings.difference(file);
-        for key in &difference.restart {
+    ) -> Result<(), ConfigError> {
+        let difference = self.settings.diff_with_file(file);
+        for key in &difference.restart_keys {
             log::warn!("configuration: settings.{key}: the change takes a restart");
         }
-        let applied = self.settings.apply(difference)?;
+        let applied = self.settings.apply_file_diff(difference)?;
         self.put_in_force(now, applied, exchange);
         Ok(())
     }
 
-    pub fn links(&self) -> Links {
-        self.settings.links()
+    pub fn links(&self) -> ConnectionLimits {
+        self.settings.connection_limits()
     }
 
-    fn put_in_force<C: Carrier>(&self, now: TenthMillis, applied: Applied, exchange: &mut Exchange<C>) {
-        if applied.changed == 0 {
+    fn put_in_force<C: Carrier>(
+        &self,
+        now: TenthMillis,
+        applied: AppliedChanges,
+        exchange: &mut Exchange<C>,
+    ) {
+        if applied.changed_count == 0 {
             return;
         }
-        exchange.change(now, &applied.terms);
-        self.front.change_classes(applied.classes);
-        self.front.cool_down.set(cool_down(self.settings.limits().max_retry_after));
+        exchange.change(now, &applied.config_changes);
+        self.front.change_classes(applied.class_indices);
+        self.front.cool_down.set(cool_down(self.settings.balancer_limits().max_retry_after));
         let links = self.links();
-        self.front.connections.set_most_busy(links.most_open as usize);
-        self.pool.set_limits(span(links.idle / 2), span(connect_within(&links)));
-        log::info!("configuration: {} settings put in force", applied.changed);
+        self.front.connections.set_most_busy(links.max_open_requests as usize);
+        self.pool.set_limits(span(links.upstream_idle_timeout / 2), span(connect_within(&links)));
+        log::info!("configuration: {} settings put in force", applied.changed_count);
     }
 }
 
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -7,7 +7,7 @@
 use pondlb::{Balancer, ListSource, TenthMillis};
 use pondlb_control::Change;
 use pondlb_control_net::Status;
-use pondlb_terms::{Fault, Links, SettingChange};
+use pondlb_terms::{ConfigError, ConnectionLimits, SettingChange};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -107,7 +107,7 @@
         let listener = bind(setup.listen)
             .map_err(|e| io::Error::new(e.kind(), format!("listen: {}: {e}", setup.listen)))?;
         let address = listener.local_addr()?;
-        let (mut terms, links) = (setup.deployment.terms, setup.deployment.links);
+        let (mut terms, links) = (setup.deployment.balancer_config, setup.deployment.connection_limits);
         let own_number = terms.own_index;
         // Control servers bring the list unasked; discovery does so on the simulator's wire only.
         terms.list_source = match terms.list_source {
@@ -120,10 +120,15 @@
         let (notes_in, notes) = mpsc::unbounded_channel();
         let (asks_in, asks) = mpsc::unbounded_channel();
         let (settings_in, settings) = mpsc::unbounded_channel();
-        let pool = Pool::new(setup.budget.upstreams, span(links.idle / 2), span(connect_within(&links)));
+        let pool = Pool::new(
+            setup.budget.upstreams,
+            span(links.upstream_idle_timeout / 2),
+            span(connect_within(&links)),
+        );
         spawn_local(pool.clone().sweep());
         let memory = setup.budget.memory;
-        let connections = ConnectionTable::new(setup.budget.clients, links.most_open as usize, memory);
+        let connections =
+            ConnectionTable::new(setup.budget.clients, links.max_open_requests as usize, memory);
         let front = Rc::new(Front {
             connections: connections.clone(),
             classes: RefCell::new(numbered(&setup.deployment.names.classes)),
@@ -186,7 +191,7 @@
             asks: asks_in,
             started: Instant::now(),
             told_to_end: None,
-            shutdown: ShutdownTimeline::new(links.longest_deadline),
+            shutdown: ShutdownTimeline::new(links.max_deadline),
             logged: (Metrics::default(), Instant::now()),
         })
     }
@@ -264,7 +269,7 @@
     }
 
     /// Puts changes of the settings by records in force: all of them or none.
-    fn change_settings(&mut self, changes: &[SettingChange]) -> Result<(), Fault> {
+    fn change_settings(&mut self, changes: &[SettingChange]) -> Result<(), ConfigError> {
         self.take_what_came();
         self.configuration.change(self.clock.now(), changes, &mut self.exchange)?;
         self.note_links();
@@ -312,7 +317,7 @@
     /// An end that has begun keeps its times.
     fn note_links(&mut self) {
         if self.told_to_end.is_none() {
-            self.shutdown = ShutdownTimeline::new(self.configuration.links().longest_deadline);
+            self.shutdown = ShutdownTimeline::new(self.configuration.links().max_deadline);
         }
     }
 
@@ -356,8 +361,8 @@
 
 /// An attempt that is still connecting when its upstream is told to drain must leave within the grace. With none
 /// at all, what the limit is longer on sockets is left.
-pub(super) fn connect_within(links: &Links) -> TenthMillis {
-    links.connect_within.min((links.drain_grace + ON_SOCKETS) / 2)
+pub(super) fn connect_within(links: &ConnectionLimits) -> TenthMillis {
+    links.connect_timeout.min((links.drain_grace + ON_SOCKETS) / 2)
 }
 
 /// Connections that wait to be taken. Hundreds may come at once, and one that finds no room here tries again
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -192,11 +192,11 @@
             return Err(faults);
         };
         let mut deployment = settings.deployment();
-        if probing.is_some() && !deployment.terms.probing {
+        if probing.is_some() && !deployment.balancer_config.probing {
             return Err(vec!["settings: Limits.Probing: false: true is accepted beside probe".into()]);
         }
         // Who says no way to probe has none: the platform's protocol has no word for it.
-        deployment.terms.probing = probing.is_some();
+        deployment.balancer_config.probing = probing.is_some();
         let mut known = known.unwrap_or_default();
         // It stands for all that was known, whatever its last call brought.
         known.whole = true;
--- a/crates/pondlb-server/src/program/tests.rs
+++ b/crates/pondlb-server/src/program/tests.rs
@@ -1,15 +1,21 @@
 //! The times of an orderly end, and how long connections may take to come up.
 
 use expect_test::expect;
-use pondlb_terms::Links;
+use pondlb_terms::ConnectionLimits;
 
 use super::service::{ShutdownTimeline, connect_within};
 
 #[test]
 fn connections_come_up_within_half_the_grace_and_have_time_to_without_one() {
     let waits = [0, 2000, 5000, 600_000].map(|drain_grace| {
-        let (idle, most_open, longest_deadline) = (150_000, 20_000, None);
-        connect_within(&Links { connect_within: 2500, idle, drain_grace, most_open, longest_deadline })
+        let (upstream_idle_timeout, max_open_requests, max_deadline) = (150_000, 20_000, None);
+        connect_within(&ConnectionLimits {
+            connect_timeout: 2500,
+            upstream_idle_timeout,
+            drain_grace,
+            max_open_requests,
+            max_deadline,
+        })
     });
     expect!["[250, 1250, 2500, 2500]"].assert_eq(&format!("{waits:?}"));
 }
--- a/crates/pondlb-server/src/protocol/control.rs
+++ b/crates/pondlb-server/src/protocol/control.rs
@@ -15,7 +15,7 @@
             upstreams.removed.push(key.name().to_string());
             continue;
         };
-        match Target::read(key.name(), value.get()) {
+        match Target::from_record(key.name(), value.get()) {
             Ok(target) => upstreams.targets.push(target),
             // It was checked before the update was taken.
             Err(fault) => log::error!("control: {key}: {fault}"),
--- a/crates/pondlb-server/src/protocol/discovery.rs
+++ b/crates/pondlb-server/src/protocol/discovery.rs
@@ -25,7 +25,7 @@
         let mut reader = serde_json::Deserializer::from_slice(json);
         let list: UpstreamList = serde_path_to_error::deserialize(&mut reader).map_err(|e| e.to_string())?;
         reader.end().map_err(|e| e.to_string())?;
-        match list.targets.iter().position(|target| !target.has_size()) {
+        match list.targets.iter().position(|target| !target.has_valid_capacity()) {
             Some(at) => Err(format!("targets[{at}].capacity_hint is no size")),
             None => Ok(list),
         }
--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use pondlb::{Stage, TenthMillis, UpstreamEntry, UpstreamId};
-use pondlb_terms::Names;
+use pondlb_terms::IndexedNames;
 
 use crate::protocol::discovery::UpstreamList;
 
@@ -89,7 +89,7 @@
 }
 
 impl Directory {
-    pub fn new(names: Names, unix_start: i64) -> Self {
+    pub fn new(names: IndexedNames, unix_start: i64) -> Self {
         let (zones, kinds) = (Numbers::new(names.zones), Numbers::new(names.kinds));
         Directory { zones, kinds, places: BTreeMap::new(), unix_start }
     }
@@ -123,8 +123,8 @@
                 target.stage,
                 target.zone,
                 target.kind,
-                target.size,
-                target.started
+                target.capacity,
+                target.started_unix_ms
             );
             let upstream: UpstreamId = target.upstream.into();
             let (zone, kind) = (self.zones.of(&target.zone), self.kinds.of(&target.kind));
@@ -133,8 +133,8 @@
             entries.push(UpstreamEntry {
                 upstream,
                 cell: target.cell,
-                started_at: started(target.started, self.unix_start),
-                capacity: target.size,
+                started_at: started(target.started_unix_ms, self.unix_start),
+                capacity: target.capacity,
                 zone,
                 kind,
                 stage: target.stage,
--- a/crates/pondlb-server/src/routing/tests.rs
+++ b/crates/pondlb-server/src/routing/tests.rs
@@ -7,7 +7,7 @@
 use expect_test::{Expect, expect};
 use pondlb::{Arrival, Balancer, BalancerConfig, Load, Outcome, TenthMillis, UpstreamId};
 use pondlb_http::{Head, Message};
-use pondlb_terms::Names;
+use pondlb_terms::IndexedNames;
 use tokio::sync::oneshot::{self, Receiver};
 
 use super::{Carrier, Directory, End, Exchange, Hold, Note, Order};
@@ -77,9 +77,9 @@
 "Schemes":[{"Effect":"idempotent","Name":"browse","SlaTimeNs":1000000000,"Value":1.0},
 {"Effect":"at_most_once","Name":"order","SlaTimeNs":1000000000,"Value":1.0}]}"#;
 
-fn terms() -> (BalancerConfig, Names) {
+fn terms() -> (BalancerConfig, IndexedNames) {
     let deployment = pondlb_terms::decode(SETTINGS).unwrap();
-    (deployment.terms, deployment.names)
+    (deployment.balancer_config, deployment.names)
 }
 
 /// Upstreams by name, each with its port, zone, state and start.
--- a/crates/pondlb-terms/src/lib.rs
+++ b/crates/pondlb-terms/src/lib.rs
@@ -8,28 +8,28 @@
 mod wire;
 
 use pondlb::{BalancerConfig, TenthMillis};
-pub use settings::{Applied, Difference, SettingChange, Settings, check};
+pub use settings::{AppliedChanges, SettingChange, Settings, SettingsDiff, check_change};
 pub use upstream::Target;
 
 /// What is wrong with the settings, in plain words that name the key.
-pub type Fault = String;
+pub type ConfigError = String;
 
 /// What a front end needs of the settings: the terms of the decisions, and what the wire is read by.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The terms of the decisions.
-    pub terms: BalancerConfig,
+    pub balancer_config: BalancerConfig,
     /// What indices stand for.
-    pub names: Names,
+    pub names: IndexedNames,
     /// The values of a load report, in the order in which the simulator lists them.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// Limits of connections.
-    pub links: Links,
+    pub connection_limits: ConnectionLimits,
 }
 
 /// What indices stand for, in their order.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct IndexedNames {
     /// Classes of requests.
     pub classes: Vec<String>,
     /// Zones of upstreams.
@@ -40,23 +40,23 @@
 
 /// Limits of the connections to upstreams, and of what may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
+pub struct ConnectionLimits {
     /// How long a connection may take to be made.
-    pub connect_within: TenthMillis,
+    pub connect_timeout: TenthMillis,
     /// How long upstreams keep idle connections.
-    pub idle: TenthMillis,
+    pub upstream_idle_timeout: TenthMillis,
     /// How long a draining upstream still takes what was sent to it.
     pub drain_grace: TenthMillis,
     /// Requests that may be open at once.
-    pub most_open: u32,
+    pub max_open_requests: u32,
     /// The longest that a client waits for its answer; none where a class does not say.
-    pub longest_deadline: Option<TenthMillis>,
+    pub max_deadline: Option<TenthMillis>,
 }
 
 /// Reads the settings of a file for who does not change them.
 ///
 /// # Errors
 /// A [`Fault`] that names the key.
-pub fn decode(json: &str) -> Result<Deployment, Fault> {
+pub fn decode(json: &str) -> Result<Deployment, ConfigError> {
     Settings::decode(json).map(|settings| settings.deployment())
 }
--- a/crates/pondlb-terms/src/settings.rs
+++ b/crates/pondlb-terms/src/settings.rs
@@ -9,7 +9,7 @@
 use crate::table::Table;
 use crate::tunable::{IN_PLACE, Tunables};
 use crate::wire::{Discovery, NO_CLASSES, Object, WireClass, WireTenant, read};
-use crate::{Deployment, Fault, Links, Names};
+use crate::{ConfigError, ConnectionLimits, Deployment, IndexedNames};
 
 /// A change of one setting, in the form of a record.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,21 +23,21 @@
 
 /// What changes of the settings bring for those who use them.
 #[derive(Debug, Default, PartialEq)]
-pub struct Applied {
+pub struct AppliedChanges {
     /// For the decisions.
-    pub terms: Vec<ConfigChange>,
+    pub config_changes: Vec<ConfigChange>,
     /// Names of classes with the numbers that they have from now on; none where there is no such class any more.
-    pub classes: Vec<(String, Option<u32>)>,
+    pub class_indices: Vec<(String, Option<u32>)>,
     /// How many settings have other values than before.
-    pub changed: usize,
+    pub changed_count: usize,
 }
 
 /// What leads from the settings in force to those of a file.
-pub struct Difference {
+pub struct SettingsDiff {
     changes: Vec<Change>,
     file: Tunables,
     /// The keys whose change takes a restart.
-    pub restart: Vec<&'static str>,
+    pub restart_keys: Vec<&'static str>,
 }
 
 /// What of the settings takes a restart.
@@ -62,7 +62,7 @@
 
 impl NamedClass {
     /// `key` is what faults call the entry.
-    fn of(wire: WireClass, key: &str) -> Result<NamedClass, Fault> {
+    fn of(wire: WireClass, key: &str) -> Result<NamedClass, ConfigError> {
         Ok(NamedClass { terms: wire.class(key)?, wire })
     }
 }
@@ -75,9 +75,9 @@
 }
 
 impl Change {
-    fn read(change: &SettingChange) -> Result<Change, Fault> {
+    fn read(change: &SettingChange) -> Result<Change, ConfigError> {
         let (key, value) = (&*change.key, change.value.as_deref());
-        let named = |fault: Fault| format!("{key}: {fault}");
+        let named = |fault: ConfigError| format!("{key}: {fault}");
         if let Some(name) = key.strip_prefix("class/") {
             let wire = value.map(read::<WireClass>).transpose().map_err(named)?;
             if let Some(wire) = wire.as_ref().filter(|wire| wire.name != name) {
@@ -111,7 +111,7 @@
 ///
 /// # Errors
 /// A [`Fault`] that names the key.
-pub fn check(change: &SettingChange) -> Result<(), Fault> {
+pub fn check_change(change: &SettingChange) -> Result<(), ConfigError> {
     match Change::read(change)? {
         Change::Limit(path, Some(value)) => Tunables::neutral().with([(path, value)]).map(|_| ()),
         _ => Ok(()),
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// A [`Fault`] that names the key.
-    pub fn decode(json: &str) -> Result<Settings, Fault> {
+    pub fn decode(json: &str) -> Result<Settings, ConfigError> {
         let object: Object = read(json)?;
         object.check()?;
         let Object { balancers, self_index, discovery, my_zone, .. } = object;
@@ -154,7 +154,8 @@
             tenant.check(&format!("Realms[{n}]"))?;
         }
         let named = |(key, wire): (&String, WireClass)| Ok((wire.name.clone(), NamedClass::of(wire, key)?));
-        let classes: Vec<_> = keys.iter().zip(object.classes).map(named).collect::<Result<_, Fault>>()?;
+        let classes: Vec<_> =
+            keys.iter().zip(object.classes).map(named).collect::<Result<_, ConfigError>>()?;
         let tenants = object.tenants.into_iter().enumerate().map(|(n, tenant)| (n.to_string(), tenant));
         Ok(Settings {
             fixed: Fixed {
@@ -206,22 +207,27 @@
             drain_grace,
             cold_start: cold,
         };
-        let names = Names {
+        let names = IndexedNames {
             classes: self.classes.values().map(|class| class.wire.name.clone()).collect(),
             zones: self.fixed.zones.clone(),
             kinds: self.fixed.machine_types.clone(),
         };
-        Deployment { terms, names, report: self.fixed.fields.clone(), links: self.links() }
+        Deployment {
+            balancer_config: terms,
+            names,
+            load_report_fields: self.fixed.fields.clone(),
+            connection_limits: self.connection_limits(),
+        }
     }
 
     /// Limits of connections as they are now.
-    pub fn links(&self) -> Links {
+    pub fn connection_limits(&self) -> ConnectionLimits {
         let deadlines: Option<Vec<u64>> = self.classes.values().map(|class| class.wire.deadline_ns).collect();
         self.tunables.links(deadlines.and_then(|all| all.into_iter().max()))
     }
 
     /// What the decisions need of the scalars as they are now.
-    pub fn limits(&self) -> pondlb::Limits {
+    pub fn balancer_limits(&self) -> pondlb::Limits {
         self.tunables.terms()
     }
 
@@ -229,8 +235,8 @@
     ///
     /// # Errors
     /// The first [`Fault`], which names its key.
-    pub fn change(&mut self, changes: &[SettingChange]) -> Result<Applied, Fault> {
-        let changes: Vec<Change> = changes.iter().map(Change::read).collect::<Result<_, Fault>>()?;
+    pub fn apply_records(&mut self, changes: &[SettingChange]) -> Result<AppliedChanges, ConfigError> {
+        let changes: Vec<Change> = changes.iter().map(Change::read).collect::<Result<_, ConfigError>>()?;
         self.check_classes(&changes)?;
         let tunables = self.changed_tunables(&changes)?;
         for change in &changes {
@@ -240,7 +246,7 @@
     }
 
     /// What leads from these settings to those of a file, where no record says otherwise.
-    pub fn difference(&self, file: &Settings) -> Difference {
+    pub fn diff_with_file(&self, file: &Settings) -> SettingsDiff {
         let mut changes = Vec::new();
         changes.extend(differences(&self.classes, &file.classes).map(|(n, class)| Change::Class(n, class)));
         changes
@@ -249,15 +255,15 @@
         let limits = file.tunables.values().filter(|(path, value)| in_force.get(path) != Some(value));
         changes.extend(limits.map(|(path, value)| Change::Limit(path, Some(value))));
         changes.retain(|change| !self.recorded.contains(&change.key()));
-        Difference { changes, file: file.tunables.clone(), restart: self.restart(file) }
+        SettingsDiff { changes, file: file.tunables.clone(), restart_keys: self.restart(file) }
     }
 
     /// Puts what a file changed in force. Its settings were checked when they were read.
     ///
     /// # Errors
     /// A [`Fault`] where the file and the records don't go together.
-    pub fn apply(&mut self, difference: Difference) -> Result<Applied, Fault> {
-        let Difference { changes, file, .. } = difference;
+    pub fn apply_file_diff(&mut self, difference: SettingsDiff) -> Result<AppliedChanges, ConfigError> {
+        let SettingsDiff { changes, file, .. } = difference;
         self.check_classes(&changes)?;
         let tunables = self.changed_tunables(&changes)?;
         self.file = file;
@@ -282,7 +288,7 @@
     }
 
     /// At least one class must be left.
-    fn check_classes(&self, changes: &[Change]) -> Result<(), Fault> {
+    fn check_classes(&self, changes: &[Change]) -> Result<(), ConfigError> {
         let mut after = HashMap::new();
         for change in changes {
             if let Change::Class(name, class) = change {
@@ -295,7 +301,7 @@
         if stays { Ok(()) } else { Err(NO_CLASSES.into()) }
     }
 
-    fn changed_tunables(&self, changes: &[Change]) -> Result<Option<Tunables>, Fault> {
+    fn changed_tunables(&self, changes: &[Change]) -> Result<Option<Tunables>, ConfigError> {
         let limits = changes.iter().filter_map(|change| match change {
             Change::Limit(path, value) => Some((*path, value.clone())),
             _ => None,
@@ -324,31 +330,37 @@
         }
     }
 
-    fn apply_checked(&mut self, changes: Vec<Change>, tunables: Option<Tunables>, in_file: bool) -> Applied {
-        let mut applied = Applied::default();
+    fn apply_checked(
+        &mut self,
+        changes: Vec<Change>,
+        tunables: Option<Tunables>,
+        in_file: bool,
+    ) -> AppliedChanges {
+        let mut applied = AppliedChanges::default();
         for change in changes {
             match change {
                 Change::Class(name, class) => {
                     let terms = class.as_ref().map(|class| class.terms.clone());
                     let Some(number) = self.classes.set(&name, class, in_file) else { continue };
-                    applied.classes.push((name, terms.as_ref().map(|_| number)));
-                    applied.terms.push(ConfigChange::Class { index: number, class: terms });
-                    applied.changed += 1;
+                    applied.class_indices.push((name, terms.as_ref().map(|_| number)));
+                    applied.config_changes.push(ConfigChange::Class { index: number, class: terms });
+                    applied.changed_count += 1;
                 }
                 Change::Tenant(name, tenant) => {
                     let terms = tenant.map(|tenant| Tenant { quota_rps: tenant.quota_rps });
                     let Some(number) = self.tenants.set(&name, tenant, in_file) else { continue };
-                    applied.terms.push(ConfigChange::Tenant { index: number, tenant: terms });
-                    applied.changed += 1;
+                    applied.config_changes.push(ConfigChange::Tenant { index: number, tenant: terms });
+                    applied.changed_count += 1;
                 }
                 Change::Limit(..) => {}
             }
         }
         if let Some(tunables) = tunables {
-            applied.changed += self.tunables.values().zip(tunables.values()).filter(|(a, b)| a != b).count();
+            applied.changed_count +=
+                self.tunables.values().zip(tunables.values()).filter(|(a, b)| a != b).count();
             let before = std::mem::replace(&mut self.tunables, tunables);
             if self.tunables.terms() != before.terms() {
-                applied.terms.push(ConfigChange::Limits(self.tunables.terms()));
+                applied.config_changes.push(ConfigChange::Limits(self.tunables.terms()));
             }
         }
         applied
--- a/crates/pondlb-terms/src/tunable.rs
+++ b/crates/pondlb-terms/src/tunable.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::wire::{Limits, Rules, within};
-use crate::{Fault, Links};
+use crate::{ConfigError, ConnectionLimits};
 
 /// The paths of the keys that can change without a restart.
 pub const IN_PLACE: [&str; 14] = [
@@ -43,7 +43,7 @@
         Tunables { limits, ..Tunables::default() }
     }
 
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         within("ExcessValue", self.excess_value, 0.0, 1.0)?;
         within("Limits.MaxPostings", self.limits.max_attempts.into(), 1.0, u32::MAX.into())?;
         within("Rules.ColdShare", self.rules.cold_share, 0.0, 1.0)?;
@@ -51,7 +51,10 @@
     }
 
     /// The same with other values under some paths, checked.
-    pub fn with<'a>(&self, values: impl IntoIterator<Item = (&'a str, Value)>) -> Result<Tunables, Fault> {
+    pub fn with<'a>(
+        &self,
+        values: impl IntoIterator<Item = (&'a str, Value)>,
+    ) -> Result<Tunables, ConfigError> {
         let mut json = serde_json::to_value(self).map_err(|e| e.to_string())?;
         for (path, value) in values {
             if let Some(place) = json.pointer_mut(&pointer(path)) {
@@ -91,14 +94,14 @@
     }
 
     /// What connections need of them; `longest_deadline_ns` is the longest of all classes.
-    pub fn links(&self, longest_deadline_ns: Option<u64>) -> Links {
+    pub fn links(&self, longest_deadline_ns: Option<u64>) -> ConnectionLimits {
         let Tunables { limits, rules, .. } = self;
-        Links {
-            connect_within: ns_to_tenth_millis_floor(limits.dial_timeout_ns),
-            idle: ns_to_tenth_millis_floor(limits.conn_idle_ns),
+        ConnectionLimits {
+            connect_timeout: ns_to_tenth_millis_floor(limits.dial_timeout_ns),
+            upstream_idle_timeout: ns_to_tenth_millis_floor(limits.conn_idle_ns),
             drain_grace: ns_to_tenth_millis_floor(rules.drain_grace_ns),
-            most_open: limits.max_open,
-            longest_deadline: longest_deadline_ns.map(ns_to_tenth_millis_ceil),
+            max_open_requests: limits.max_open,
+            max_deadline: longest_deadline_ns.map(ns_to_tenth_millis_ceil),
         }
     }
 }
--- a/crates/pondlb-terms/src/upstream.rs
+++ b/crates/pondlb-terms/src/upstream.rs
@@ -5,7 +5,7 @@
 use pondlb::Stage;
 use serde::{Deserialize, Deserializer};
 
-use crate::Fault;
+use crate::ConfigError;
 use crate::wire::read;
 
 /// One upstream of a list.
@@ -31,10 +31,10 @@
     pub stage: Stage,
     /// How much it takes, relative to others.
     #[serde(rename = "capacity_hint")]
-    pub size: f64,
+    pub capacity: f64,
     /// Unix time in milliseconds; 0 for long ago.
     #[serde(rename = "boot_ms", default)]
-    pub started: u64,
+    pub started_unix_ms: u64,
 }
 
 #[derive(Deserialize)]
@@ -58,19 +58,19 @@
     ///
     /// # Errors
     /// A [`Fault`] that names the key.
-    pub fn read(name: &str, json: &str) -> Result<Target, Fault> {
+    pub fn from_record(name: &str, json: &str) -> Result<Target, ConfigError> {
         let target: Target = read(json)?;
         if target.upstream != name {
             return Err(format!("uid: {:?}: the record's name is accepted", target.upstream));
         }
-        if !target.has_size() {
+        if !target.has_valid_capacity() {
             return Err("capacity_hint is no size".into());
         }
         Ok(target)
     }
 
     /// Whether its size is a number that can be one.
-    pub fn has_size(&self) -> bool {
-        self.size.is_finite() && self.size >= 0.0
+    pub fn has_valid_capacity(&self) -> bool {
+        self.capacity.is_finite() && self.capacity >= 0.0
     }
 }
--- a/crates/pondlb-terms/src/wire.rs
+++ b/crates/pondlb-terms/src/wire.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::Fault;
+use crate::ConfigError;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -119,12 +119,12 @@
 }
 
 /// Reads the whole of a text; a fault names the key.
-pub fn read<T: DeserializeOwned>(json: &str) -> Result<T, Fault> {
+pub fn read<T: DeserializeOwned>(json: &str) -> Result<T, ConfigError> {
     // Keeping track of the key takes longer than reading, and only what can't be read needs it.
     serde_json::from_str(json).or_else(|_| read_tracked(json))
 }
 
-fn read_tracked<T: DeserializeOwned>(json: &str) -> Result<T, Fault> {
+fn read_tracked<T: DeserializeOwned>(json: &str) -> Result<T, ConfigError> {
     let mut reader = serde_json::Deserializer::from_str(json);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|e| e.to_string())?;
     reader.end().map_err(|e| e.to_string())?;
@@ -132,7 +132,7 @@
 }
 
 /// What can be read and yet can't be true is a fault.
-pub fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), Fault> {
+pub fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), ConfigError> {
     if (least..=most).contains(&value) {
         return Ok(());
     }
@@ -140,7 +140,7 @@
 }
 
 impl Object {
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         if self.classes.is_empty() {
             return Err(NO_CLASSES.into());
         }
@@ -152,7 +152,7 @@
     }
 
     /// How long discovery may be left unasked, where it has to be asked.
-    pub fn check_asking(&self) -> Result<(), Fault> {
+    pub fn check_asking(&self) -> Result<(), ConfigError> {
         if self.discovery != Discovery::Ask {
             return Ok(());
         }
@@ -166,7 +166,7 @@
 
 impl WireClass {
     /// The class that the decisions know. `key` is what faults call the entry.
-    pub fn class(&self, key: &str) -> Result<Class, Fault> {
+    pub fn class(&self, key: &str) -> Result<Class, ConfigError> {
         let lacks = |field| format!("{key}.{field} is missing, though the scheme is deduplicated");
         let effect = match self.effect {
             WireEffect::Idempotent => Effect::Idempotent,
@@ -183,14 +183,14 @@
         Ok(Class { sla_time: ns_to_tenth_millis_floor(self.sla_time_ns), value: self.value, effect })
     }
 
-    pub fn check(&self, key: &str) -> Result<(), Fault> {
+    pub fn check(&self, key: &str) -> Result<(), ConfigError> {
         within(&format!("{key}.Value"), self.value, 0.0, f64::MAX)?;
         within(&format!("{key}.LateValue"), self.late_value.unwrap_or(0.0), 0.0, 1.0)
     }
 }
 
 impl WireTenant {
-    pub fn check(&self, key: &str) -> Result<(), Fault> {
+    pub fn check(&self, key: &str) -> Result<(), ConfigError> {
         within(&format!("{key}.QuotaRps"), self.quota_rps, 0.0, f64::MAX)
     }
 }
--- a/crates/pondlb-terms/tests/changes.rs
+++ b/crates/pondlb-terms/tests/changes.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use pondlb::ConfigChange;
-use pondlb_terms::{Applied, SettingChange, Settings, check};
+use pondlb_terms::{AppliedChanges, SettingChange, Settings, check_change};
 
 const FILE: &str = r#"{"Balancers":3,"SelfIndex":1,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,
 "Limits":{"Cancelling":true,"ConnIdleNs":15000000000,"DialTimeoutNs":250000000,"MaxOpen":20000,"MaxPostings":3,
@@ -30,9 +30,9 @@
     SettingChange { key: key.into(), value: None }
 }
 
-fn told(applied: &Applied) -> String {
-    let mut text = format!("{} changed, classes {:?}\n", applied.changed, applied.classes);
-    for change in &applied.terms {
+fn told(applied: &AppliedChanges) -> String {
+    let mut text = format!("{} changed, classes {:?}\n", applied.changed_count, applied.class_indices);
+    for change in &applied.config_changes {
         match change {
             ConfigChange::Class { index: number, class } => {
                 writeln!(text, "class {number}: {class:?}").unwrap()
@@ -56,8 +56,8 @@
         vec![removal("class/s")],
         vec![change("class/u", CLASS_U), removal("class/unknown")],
     ] {
-        trace += &told(&settings.change(&changes).unwrap());
-        writeln!(trace, "expiry {:?}", settings.links().longest_deadline).unwrap();
+        trace += &told(&settings.apply_records(&changes).unwrap());
+        writeln!(trace, "expiry {:?}", settings.connection_limits().max_deadline).unwrap();
     }
     expect![[r#"
         1 changed, classes [("t", Some(1))]
@@ -91,7 +91,7 @@
         tenant 0: Some(Tenant { quota_rps: 5.5 })
         tenant 2: Some(Tenant { quota_rps: 7.0 })
     "#]]
-    .assert_eq(&told(&settings.change(&changes).unwrap()));
+    .assert_eq(&told(&settings.apply_records(&changes).unwrap()));
 }
 
 #[test]
@@ -104,22 +104,22 @@
         vec![removal("limit/Limits.MaxPostings"), change("limit/Limits.RetryAfter", "false")],
         vec![removal("limit/Limits.MaxOpen"), removal("limit/ExcessValue")],
     ] {
-        trace += &told(&settings.change(&changes).unwrap());
-        writeln!(trace, "{:?}", settings.links()).unwrap();
+        trace += &told(&settings.apply_records(&changes).unwrap());
+        writeln!(trace, "{:?}", settings.connection_limits()).unwrap();
     }
     expect![[r#"
         2 changed, classes []
         Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, max_retry_after: Some(20000), drain_grace: 5000, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
-        Links { connect_within: 2500, idle: 150000, drain_grace: 5000, most_open: 20000, longest_deadline: Some(30000) }
+        ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 5000, max_open_requests: 20000, max_deadline: Some(30000) }
         2 changed, classes []
         Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 2, hedging: true, cancelling: true }, max_retry_after: Some(20000), drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
-        Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 7, longest_deadline: Some(30000) }
+        ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 0, max_open_requests: 7, max_deadline: Some(30000) }
         2 changed, classes []
         Limits { over_quota_value: 0.5, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, max_retry_after: None, drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
-        Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 7, longest_deadline: Some(30000) }
+        ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 0, max_open_requests: 7, max_deadline: Some(30000) }
         2 changed, classes []
         Limits { over_quota_value: 0.1, attempt_limits: AttemptLimits { max_attempts: 3, hedging: true, cancelling: true }, max_retry_after: None, drain_grace: 0, cold_start: ColdStart { initial_capacity_share: 0.3, warm_up_time: 89000, collapse_load_factor: 4.0, collapse_window: 20000 } }
-        Links { connect_within: 2500, idle: 150000, drain_grace: 0, most_open: 20000, longest_deadline: Some(30000) }
+        ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 0, max_open_requests: 20000, max_deadline: Some(30000) }
     "#]].assert_eq(&trace);
 }
 
@@ -149,11 +149,15 @@
     let mut trace = String::new();
     for faulty in &faults {
         let mut settings = settings();
-        let before = told(&settings.change(&[]).unwrap());
-        let fault = settings.change(&[change("tenant/1", r#"{"QuotaRps":21}"#), faulty.clone()]).unwrap_err();
+        let before = told(&settings.apply_records(&[]).unwrap());
+        let fault =
+            settings.apply_records(&[change("tenant/1", r#"{"QuotaRps":21}"#), faulty.clone()]).unwrap_err();
         // Whoever only keeps settings finds the same fault.
-        assert_eq!(check(faulty).unwrap_err(), fault);
-        assert_eq!(told(&settings.apply(settings.difference(&self::settings())).unwrap()), before);
+        assert_eq!(check_change(faulty).unwrap_err(), fault);
+        assert_eq!(
+            told(&settings.apply_file_diff(settings.diff_with_file(&self::settings())).unwrap()),
+            before
+        );
         writeln!(trace, "{fault}").unwrap();
     }
     expect![[r#"
@@ -182,9 +186,9 @@
 #[test]
 fn the_last_class_stays() {
     let mut settings = settings();
-    let fault = settings.change(&[removal("class/s"), removal("class/t")]).unwrap_err();
-    settings.change(&[removal("class/s"), removal("class/t"), change("class/u", CLASS_U)]).unwrap();
-    let last = settings.change(&[removal("class/u")]).unwrap_err();
+    let fault = settings.apply_records(&[removal("class/s"), removal("class/t")]).unwrap_err();
+    settings.apply_records(&[removal("class/s"), removal("class/t"), change("class/u", CLASS_U)]).unwrap();
+    let last = settings.apply_records(&[removal("class/u")]).unwrap_err();
     assert_eq!([fault, last], ["Schemes is empty", "Schemes is empty"]);
 }
 
@@ -199,9 +203,9 @@
         FILE.replace(r#""SelfIndex":1"#, r#""SelfIndex":2"#).replace(r#"["z"]"#, r#"["z","y"]"#),
     ];
     for text in texts {
-        let difference = settings.difference(&Settings::decode(&text).unwrap());
-        writeln!(trace, "{:?} take a restart", difference.restart).unwrap();
-        trace += &told(&settings.apply(difference).unwrap());
+        let difference = settings.diff_with_file(&Settings::decode(&text).unwrap());
+        writeln!(trace, "{:?} take a restart", difference.restart_keys).unwrap();
+        trace += &told(&settings.apply_file_diff(difference).unwrap());
     }
     expect![[r#"
         [] take a restart
@@ -234,17 +238,17 @@
         change("tenant/0", r#"{"QuotaRps":11}"#),
         change("limit/Limits.MaxPostings", "2"),
     ];
-    settings.change(&records).unwrap();
+    settings.apply_records(&records).unwrap();
     let mut trace = String::new();
     let text =
         FILE.replace(r#""QuotaRps":10"#, r#""QuotaRps":12"#).replace(r#""Value":1.0"#, r#""Value":1.5"#);
     let text = text.replace(r#""MaxPostings":3"#, r#""MaxPostings":4"#);
     for text in [FILE, &text] {
-        let difference = settings.difference(&Settings::decode(text).unwrap());
-        trace += &told(&settings.apply(difference).unwrap());
+        let difference = settings.diff_with_file(&Settings::decode(text).unwrap());
+        trace += &told(&settings.apply_file_diff(difference).unwrap());
     }
     // Without the record, the limit is as the file read last says.
-    trace += &told(&settings.change(&[removal("limit/Limits.MaxPostings")]).unwrap());
+    trace += &told(&settings.apply_records(&[removal("limit/Limits.MaxPostings")]).unwrap());
     expect![[r#"
         0 changed, classes []
         0 changed, classes []
@@ -261,7 +265,7 @@
     let start = std::time::Instant::now();
     for n in 0..1000 {
         let (key, value) = (format!("tenant/{n}"), format!(r#"{{"QuotaRps":{n}}}"#));
-        settings.change(&[change(&key, &value)]).unwrap();
+        settings.apply_records(&[change(&key, &value)]).unwrap();
     }
     // With a copy of all for each it would be minutes.
     assert!(start.elapsed().as_secs() < 5, "{:?}", start.elapsed());
--- a/crates/pondlb-terms/tests/settings.rs
+++ b/crates/pondlb-terms/tests/settings.rs
@@ -14,12 +14,12 @@
 
 #[test]
 fn limits_are_rounded_so_that_none_is_overrun() {
-    let Deployment { terms, links, .. } = decode(GOOD).unwrap();
+    let Deployment { balancer_config: terms, connection_limits: links, .. } = decode(GOOD).unwrap();
     let effects: Vec<_> = terms.classes.iter().map(|s| (s.sla_time, s.effect)).collect();
     expect![[r#"
         [(25000, Idempotent), (0, Keyed { scope: Cell, key_ttl: 50000 })]
         ColdStart { initial_capacity_share: 0.3, warm_up_time: 89001, collapse_load_factor: 4.0, collapse_window: 20001 }
-        Links { connect_within: 2500, idle: 150000, drain_grace: 5000, most_open: 20000, longest_deadline: None }"#]]
+        ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 5000, max_open_requests: 20000, max_deadline: None }"#]]
     .assert_eq(&format!("{effects:?}\n{:?}\n{links:?}", terms.cold_start));
 }
 
