--- a/crates/pondlb-server/tests/control/mod.rs
+++ b/crates/pondlb-server/tests/control/mod.rs
@@ -191,7 +191,7 @@
     assert_eq!(origin.commit(&[listed(one.address)]), "200");
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(balancer.ask("a2", "order").status(), "200");
-    balancer.ends_having_said(&["the answer is rejected: upstream/u", "the record's name is accepted"]);
+    balancer.ends_having_said(&["the answer is rejected: upstream/u", "must equal the record's name"]);
 }
 
 #[test]
--- a/crates/pondlb-terms/tests/changes.rs
+++ b/crates/pondlb-terms/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Settings that change in place, by records and by a file read anew.
+//! Changes of the settings in place, by records and by a reloaded file.
 
 use std::fmt::Write;
 
@@ -6,6 +6,7 @@
 use pondlb::ConfigChange;
 use pondlb_terms::{AppliedChanges, SettingChange, Settings, check_change};
 
+/// The settings of the file.
 const FILE: &str = r#"{"Balancers":3,"SelfIndex":1,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,
 "Limits":{"Cancelling":true,"ConnIdleNs":15000000000,"DialTimeoutNs":250000000,"MaxOpen":20000,"MaxPostings":3,
 "MaxRetryAfterNs":2000000000,"RetryAfter":true,"SecondCopies":true},"MachineTypes":["m"],"Zones":["z"],
@@ -14,11 +15,13 @@
 "Schemes":[{"Effect":"idempotent","Name":"s","SlaTimeNs":2500000000,"Value":3.0,"ExpiryNs":3000000000},
 {"Effect":"at_most_once","Name":"t","SlaTimeNs":1000000000,"Value":1.0,"ExpiryNs":1000000000}]}"#;
 
+/// Another value for the file's class `t`.
 const CLASS_T: &str =
     r#"{"Effect":"idempotent","Name":"t","SlaTimeNs":500000000,"Value":2.0,"ExpiryNs":4000000000}"#;
+/// A class that the file does not have.
 const CLASS_U: &str = r#"{"Effect":"at_most_once","Name":"u","SlaTimeNs":100000000,"Value":9,"ExpiryNs":1}"#;
 
-fn settings() -> Settings {
+fn file_settings() -> Settings {
     Settings::decode(FILE).unwrap()
 }
 
@@ -30,16 +33,12 @@
     SettingChange { key: key.into(), value: None }
 }
 
-fn told(applied: &AppliedChanges) -> String {
+fn describe(applied: &AppliedChanges) -> String {
     let mut text = format!("{} changed, classes {:?}\n", applied.changed_count, applied.class_indices);
     for change in &applied.config_changes {
         match change {
-            ConfigChange::Class { index: number, class } => {
-                writeln!(text, "class {number}: {class:?}").unwrap()
-            }
-            ConfigChange::Tenant { index: number, tenant } => {
-                writeln!(text, "tenant {number}: {tenant:?}").unwrap()
-            }
+            ConfigChange::Class { index, class } => writeln!(text, "class {index}: {class:?}").unwrap(),
+            ConfigChange::Tenant { index, tenant } => writeln!(text, "tenant {index}: {tenant:?}").unwrap(),
             ConfigChange::Limits(limits) => writeln!(text, "{limits:?}").unwrap(),
         }
     }
@@ -47,8 +46,8 @@
 }
 
 #[test]
-fn classes_change_come_and_go_and_their_numbers_are_used_again() {
-    let mut settings = settings();
+fn class_records_add_change_and_remove_classes_and_indices_are_reused() {
+    let mut settings = file_settings();
     let mut trace = String::new();
     for changes in [
         vec![change("class/t", CLASS_T)],
@@ -56,28 +55,28 @@
         vec![removal("class/s")],
         vec![change("class/u", CLASS_U), removal("class/unknown")],
     ] {
-        trace += &told(&settings.apply_records(&changes).unwrap());
-        writeln!(trace, "expiry {:?}", settings.connection_limits().max_deadline).unwrap();
+        trace += &describe(&settings.apply_records(&changes).unwrap());
+        writeln!(trace, "max deadline {:?}", settings.connection_limits().max_deadline).unwrap();
     }
     expect![[r#"
         1 changed, classes [("t", Some(1))]
         class 1: Some(Class { sla_time: 5000, value: 2.0, effect: Idempotent })
-        expiry Some(40000)
+        max deadline Some(40000)
         0 changed, classes []
-        expiry Some(40000)
+        max deadline Some(40000)
         1 changed, classes [("s", None)]
         class 0: None
-        expiry Some(40000)
+        max deadline Some(40000)
         1 changed, classes [("u", Some(0))]
         class 0: Some(Class { sla_time: 1000, value: 9.0, effect: NonIdempotent })
-        expiry Some(40000)
+        max deadline Some(40000)
     "#]]
     .assert_eq(&trace);
 }
 
 #[test]
-fn tenants_change_come_and_go() {
-    let mut settings = settings();
+fn tenant_records_add_change_and_remove_tenants() {
+    let mut settings = file_settings();
     let changes = [
         change("tenant/1", r#"{"QuotaRps":21}"#),
         removal("tenant/0"),
@@ -91,12 +90,12 @@
         tenant 0: Some(Tenant { quota_rps: 5.5 })
         tenant 2: Some(Tenant { quota_rps: 7.0 })
     "#]]
-    .assert_eq(&told(&settings.apply_records(&changes).unwrap()));
+    .assert_eq(&describe(&settings.apply_records(&changes).unwrap()));
 }
 
 #[test]
-fn limits_change_and_go_back_to_what_the_file_says() {
-    let mut settings = settings();
+fn removing_a_limit_record_restores_the_value_of_the_file() {
+    let mut settings = file_settings();
     let mut trace = String::new();
     for changes in [
         vec![change("limit/Limits.MaxPostings", "2"), change("limit/ExcessValue", "0.5")],
@@ -104,7 +103,7 @@
         vec![removal("limit/Limits.MaxPostings"), change("limit/Limits.RetryAfter", "false")],
         vec![removal("limit/Limits.MaxOpen"), removal("limit/ExcessValue")],
     ] {
-        trace += &told(&settings.apply_records(&changes).unwrap());
+        trace += &describe(&settings.apply_records(&changes).unwrap());
         writeln!(trace, "{:?}", settings.connection_limits()).unwrap();
     }
     expect![[r#"
@@ -124,8 +123,8 @@
 }
 
 #[test]
-fn a_faulty_change_is_named_by_its_key_and_nothing_of_what_came_with_it_is_taken() {
-    let faults = [
+fn faulty_change_is_named_by_its_key_and_rejects_all_changes_with_it() {
+    let faulty_changes = [
         change("class/t", r#"{"Effect":"idempotent","Name":"t","Value":2}"#),
         change("class/t", r#"{"Effect":"harmless","Name":"t","SlaTimeNs":1,"Value":2}"#),
         change("class/t", r#"{"Effect":"deduplicated","Name":"t","SlaTimeNs":1,"Value":2}"#),
@@ -147,18 +146,18 @@
         change("unknown/x", "1"),
     ];
     let mut trace = String::new();
-    for faulty in &faults {
-        let mut settings = settings();
-        let before = told(&settings.apply_records(&[]).unwrap());
-        let fault =
+    for faulty in &faulty_changes {
+        let mut settings = file_settings();
+        let before = describe(&settings.apply_records(&[]).unwrap());
+        let error =
             settings.apply_records(&[change("tenant/1", r#"{"QuotaRps":21}"#), faulty.clone()]).unwrap_err();
-        // Whoever only keeps settings finds the same fault.
-        assert_eq!(check_change(faulty).unwrap_err(), fault);
+        // A server that only stores settings reports the same error.
+        assert_eq!(check_change(faulty).unwrap_err(), error);
         assert_eq!(
-            told(&settings.apply_file_diff(settings.diff_with_file(&self::settings())).unwrap()),
+            describe(&settings.apply_file_diff(settings.diff_with_file(&file_settings())).unwrap()),
             before
         );
-        writeln!(trace, "{fault}").unwrap();
+        writeln!(trace, "{error}").unwrap();
     }
     expect![[r#"
         class/t: missing field `SlaTimeNs` at line 1 column 44
@@ -166,9 +165,9 @@
         class/t.DedupScope is missing, though the scheme is deduplicated
         class/t.Value: -2: 0 to 179769313486231570000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000 are accepted
         class/t.LateValue: 2: 0 to 1 are accepted
-        class/t.Name: "u": the name in the key is accepted
+        class/t.Name: "u": must equal the name in the key
         class/t: EOF while parsing an object at line 1 column 1
-        tenant/0: invalid type: integer `5`, expected struct Realm at line 1 column 1
+        tenant/0: invalid type: integer `5`, expected a JSON object at line 1 column 1
         tenant/0.QuotaRps: -5: 0 to 179769313486231570000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000 are accepted
         Limits.MaxPostings: 0: 1 to 4294967295 are accepted
         Limits.MaxPostings: invalid value: integer `-1`, expected u32
@@ -184,17 +183,17 @@
 }
 
 #[test]
-fn the_last_class_stays() {
-    let mut settings = settings();
-    let fault = settings.apply_records(&[removal("class/s"), removal("class/t")]).unwrap_err();
+fn removing_the_last_class_is_refused() {
+    let mut settings = file_settings();
+    let all_at_once = settings.apply_records(&[removal("class/s"), removal("class/t")]).unwrap_err();
     settings.apply_records(&[removal("class/s"), removal("class/t"), change("class/u", CLASS_U)]).unwrap();
     let last = settings.apply_records(&[removal("class/u")]).unwrap_err();
-    assert_eq!([fault, last], ["Schemes is empty", "Schemes is empty"]);
+    assert_eq!([all_at_once, last], ["Schemes is empty", "Schemes is empty"]);
 }
 
 #[test]
-fn a_file_read_anew_changes_what_differs_and_names_what_takes_a_restart() {
-    let mut settings = settings();
+fn reloaded_file_applies_its_differences_and_names_keys_that_take_a_restart() {
+    let mut settings = file_settings();
     let mut trace = String::new();
     let texts = [
         FILE.to_string(),
@@ -203,9 +202,9 @@
         FILE.replace(r#""SelfIndex":1"#, r#""SelfIndex":2"#).replace(r#"["z"]"#, r#"["z","y"]"#),
     ];
     for text in texts {
-        let difference = settings.diff_with_file(&Settings::decode(&text).unwrap());
-        writeln!(trace, "{:?} take a restart", difference.restart_keys).unwrap();
-        trace += &told(&settings.apply_file_diff(difference).unwrap());
+        let diff = settings.diff_with_file(&Settings::decode(&text).unwrap());
+        writeln!(trace, "{:?} take a restart", diff.restart_keys).unwrap();
+        trace += &describe(&settings.apply_file_diff(diff).unwrap());
     }
     expect![[r#"
         [] take a restart
@@ -229,8 +228,8 @@
 }
 
 #[test]
-fn a_file_changes_nothing_that_a_record_has_set_or_removed() {
-    let mut settings = settings();
+fn reloaded_file_does_not_change_what_a_record_has_set_or_removed() {
+    let mut settings = file_settings();
     let records = [
         change("class/t", CLASS_T),
         removal("class/s"),
@@ -240,15 +239,15 @@
     ];
     settings.apply_records(&records).unwrap();
     let mut trace = String::new();
-    let text =
+    let changed =
         FILE.replace(r#""QuotaRps":10"#, r#""QuotaRps":12"#).replace(r#""Value":1.0"#, r#""Value":1.5"#);
-    let text = text.replace(r#""MaxPostings":3"#, r#""MaxPostings":4"#);
-    for text in [FILE, &text] {
-        let difference = settings.diff_with_file(&Settings::decode(text).unwrap());
-        trace += &told(&settings.apply_file_diff(difference).unwrap());
+    let changed = changed.replace(r#""MaxPostings":3"#, r#""MaxPostings":4"#);
+    for text in [FILE, &changed] {
+        let diff = settings.diff_with_file(&Settings::decode(text).unwrap());
+        trace += &describe(&settings.apply_file_diff(diff).unwrap());
     }
-    // Without the record, the limit is as the file read last says.
-    trace += &told(&settings.apply_records(&[removal("limit/Limits.MaxPostings")]).unwrap());
+    // Without the record, the limit is that of the file that was loaded last.
+    trace += &describe(&settings.apply_records(&[removal("limit/Limits.MaxPostings")]).unwrap());
     expect![[r#"
         0 changed, classes []
         0 changed, classes []
@@ -258,15 +257,15 @@
 }
 
 #[test]
-fn one_change_among_many_tenants_costs_no_more_than_among_few() {
+fn cost_of_a_change_does_not_grow_with_the_number_of_tenants() {
     let tenants = vec![r#"{"QuotaRps":10}"#; 63_000].join(",");
-    let text = FILE.replace(r#"{"QuotaRps":10},{"QuotaRps":20}"#, &tenants);
-    let mut settings = Settings::decode(&text).unwrap();
+    let file = FILE.replace(r#"{"QuotaRps":10},{"QuotaRps":20}"#, &tenants);
+    let mut settings = Settings::decode(&file).unwrap();
     let start = std::time::Instant::now();
     for n in 0..1000 {
         let (key, value) = (format!("tenant/{n}"), format!(r#"{{"QuotaRps":{n}}}"#));
         settings.apply_records(&[change(&key, &value)]).unwrap();
     }
-    // With a copy of all for each it would be minutes.
+    // If each change copied all tenants, this would take minutes.
     assert!(start.elapsed().as_secs() < 5, "{:?}", start.elapsed());
 }
--- a/crates/pondlb-terms/tests/settings.rs
+++ b/crates/pondlb-terms/tests/settings.rs
@@ -1,10 +1,9 @@
-//! What is read of the settings, and what is refused.
+//! Decoding of the settings of a file, and the errors for faulty ones.
 
 use expect_test::expect;
-
 use pondlb_terms::{Deployment, decode};
 
-const GOOD: &str = r#"{"Balancers":3,"SelfIndex":1,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,"New":[1],
+const VALID: &str = r#"{"Balancers":3,"SelfIndex":1,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,"New":[1],
 "Limits":{"Cancelling":true,"ConnIdleNs":15000000000,"DialTimeoutNs":250000000,"MaxOpen":20000,"MaxPostings":3,
 "MaxRetryAfterNs":2000000000,"RetryAfter":true,"SecondCopies":true},"MachineTypes":["m"],"Zones":["z"],
 "Reporting":{"Fields":["rif"]},"Rules":{"ColdShare":0.3,"DrainGraceNs":500000099,"FallMultiple":4.0,
@@ -13,19 +12,20 @@
 {"Effect":"deduplicated","DedupScope":"cell","KeyTtlNs":5000000099,"Name":"t","SlaTimeNs":1,"Value":1.0}]}"#;
 
 #[test]
-fn limits_are_rounded_so_that_none_is_overrun() {
-    let Deployment { balancer_config: terms, connection_limits: links, .. } = decode(GOOD).unwrap();
-    let effects: Vec<_> = terms.classes.iter().map(|s| (s.sla_time, s.effect)).collect();
+fn times_are_rounded_so_that_no_limit_is_exceeded() {
+    let Deployment { balancer_config, connection_limits, .. } = decode(VALID).unwrap();
+    let effects: Vec<_> =
+        balancer_config.classes.iter().map(|class| (class.sla_time, class.effect)).collect();
     expect![[r#"
         [(25000, Idempotent), (0, Keyed { scope: Cell, key_ttl: 50000 })]
         ColdStart { initial_capacity_share: 0.3, warm_up_time: 89001, collapse_load_factor: 4.0, collapse_window: 20001 }
         ConnectionLimits { connect_timeout: 2500, upstream_idle_timeout: 150000, drain_grace: 5000, max_open_requests: 20000, max_deadline: None }"#]]
-    .assert_eq(&format!("{effects:?}\n{:?}\n{links:?}", terms.cold_start));
+    .assert_eq(&format!("{effects:?}\n{:?}\n{connection_limits:?}", balancer_config.cold_start));
 }
 
 #[test]
-fn the_key_at_fault_is_named() {
-    let made: Vec<String> = [
+fn decode_errors_name_the_key() {
+    let mut errors: Vec<String> = [
         ("\"Balancers\":3,", ""),
         ("\"MaxPostings\":3", "\"MaxPostings\":-3"),
         ("\"FallNs\":2000000001", "\"FallNs\":2.5"),
@@ -42,15 +42,18 @@
         ("\"MustAskInNs\":10000000000", "\"MustAskInNs\":0"),
         ("\"MaxPostings\":3", "\"MaxPostings\":0"),
         ("\"SecondCopies\":true", "\"SecondCopies\":true,\"Probing\":1"),
+        ("{\"Fields\":[\"rif\"]}", "5"),
+        ("\"Schemes\":[", "\"Schemes\":[5,"),
         ("}]}", "}]"),
         ("}]}", "}]}}"),
     ]
     .into_iter()
     .map(|(from, to)| {
-        assert!(GOOD.contains(from), "{from}");
-        decode(&GOOD.replacen(from, to, 1)).unwrap_err()
+        assert!(VALID.contains(from), "{from}");
+        decode(&VALID.replacen(from, to, 1)).unwrap_err()
     })
     .collect();
+    errors.push(decode("5").unwrap_err());
     expect![[r#"
         missing field `Balancers` at line 7 column 106
         Limits.MaxPostings: invalid value: integer `-3`, expected u32 at line 2 column 111
@@ -68,6 +71,9 @@
         Rules.MustAskInNs: 0: 100000000 to 86400000000000 are accepted
         Limits.MaxPostings: 0: 1 to 4294967295 are accepted
         Limits.Probing: invalid type: integer `1`, expected a boolean at line 3 column 78
+        Reporting: invalid type: integer `5`, expected a JSON object at line 4 column 13
+        Schemes[0]: invalid type: integer `5`, expected a JSON object at line 6 column 12
         EOF while parsing an object at line 7 column 105
-        trailing characters at line 7 column 107"#]].assert_eq(&made.join("\n"));
+        trailing characters at line 7 column 107
+        invalid type: integer `5`, expected a JSON object at line 1 column 1"#]].assert_eq(&errors.join("\n"));
 }
