--- a/crates/pondlb-server/src/program/configuration.rs
+++ b/crates/pondlb-server/src/program/configuration.rs
@@ -7,13 +7,13 @@
 
 use super::service::connect_within;
 use crate::routing::{Carrier, Exchange};
-use crate::transport::{Front, Pool, span};
+use crate::transport::{Frontend, UpstreamPool, tenth_millis_to_duration};
 
 /// What changes in place while the program serves.
 pub struct Configuration {
     pub settings: Settings,
-    pub front: Rc<Front>,
-    pub pool: Rc<Pool>,
+    pub front: Rc<Frontend>,
+    pub pool: Rc<UpstreamPool>,
 }
 
 impl Configuration {
@@ -55,10 +55,13 @@
         }
         exchange.change(now, &applied.terms);
         self.front.change_classes(applied.classes);
-        self.front.cool_down.set(cool_down(self.settings.limits().max_retry_after));
+        self.front.overload_retry_after.set(cool_down(self.settings.limits().max_retry_after));
         let links = self.links();
-        self.front.connections.set_most_busy(links.most_open as usize);
-        self.pool.set_limits(span(links.idle / 2), span(connect_within(&links)));
+        self.front.connections.set_max_busy(links.most_open as usize);
+        self.pool.set_timeouts(
+            tenth_millis_to_duration(links.idle / 2),
+            tenth_millis_to_duration(connect_within(&links)),
+        );
         log::info!("configuration: {} settings put in force", applied.changed);
     }
 }
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -21,8 +21,9 @@
 use crate::protocol::discovery::UpstreamList;
 use crate::routing::{Directory, Exchange, Metrics, Note};
 use crate::transport::{
-    Ask, Attempts, Backoff, Clock, ConnectionTable, Follower, Front, ListLimit, Patience, Phase, Pool,
-    SettingsUpdate, discover, follow_control, listen, span,
+    Backoff, CallTimeouts, Clock, ConnectionTable, ControlFollower, DiscoveryCommand, Frontend, ListLimit,
+    OutboundTransport, Phase, SettingsUpdate, UpstreamPool, accept_connections, follow_control_servers,
+    follow_discovery, tenth_millis_to_duration,
 };
 
 /// The steps of an orderly end, each counted from the signal. A planned restart leaves as long as the longest
@@ -46,8 +47,8 @@
         let answered = killed - UNANSWERED;
         // What comes last still has time for a quick answer.
         let stays = deadline.map_or(0, |_| answered.saturating_sub(LAST_CHANCE));
-        let leaving = span(stays.max(LEAVING.min(answered)));
-        ShutdownTimeline { leaving, answered, at_most: span(killed - MARGIN) }
+        let leaving = tenth_millis_to_duration(stays.max(LEAVING.min(answered)));
+        ShutdownTimeline { leaving, answered, at_most: tenth_millis_to_duration(killed - MARGIN) }
     }
 }
 
@@ -77,7 +78,7 @@
 pub struct Service {
     phase: watch::Sender<Phase>,
     clock: Clock,
-    exchange: Exchange<Attempts>,
+    exchange: Exchange<OutboundTransport>,
     notes: mpsc::UnboundedReceiver<Note>,
     /// From control servers; closed where none are followed.
     settings: mpsc::UnboundedReceiver<SettingsUpdate>,
@@ -91,7 +92,7 @@
     hangup: Signal,
     /// As the configuration last read says.
     given: Given,
-    asks: mpsc::UnboundedSender<Ask>,
+    asks: mpsc::UnboundedSender<DiscoveryCommand>,
     started: Instant,
     told_to_end: Option<Instant>,
     shutdown: ShutdownTimeline,
@@ -120,27 +121,31 @@
         let (notes_in, notes) = mpsc::unbounded_channel();
         let (asks_in, asks) = mpsc::unbounded_channel();
         let (settings_in, settings) = mpsc::unbounded_channel();
-        let pool = Pool::new(setup.budget.upstreams, span(links.idle / 2), span(connect_within(&links)));
-        spawn_local(pool.clone().sweep());
+        let pool = UpstreamPool::new(
+            setup.budget.upstreams,
+            tenth_millis_to_duration(links.idle / 2),
+            tenth_millis_to_duration(connect_within(&links)),
+        );
+        spawn_local(pool.clone().run_sweeper());
         let memory = setup.budget.memory;
         let connections = ConnectionTable::new(setup.budget.clients, links.most_open as usize, memory);
-        let front = Rc::new(Front {
+        let front = Rc::new(Frontend {
             connections: connections.clone(),
             classes: RefCell::new(numbered(&setup.deployment.names.classes)),
-            cool_down: Cell::new(cool_down(terms.max_retry_after)),
-            notes: notes_in.clone(),
+            overload_retry_after: Cell::new(cool_down(terms.max_retry_after)),
+            exchange_tx: notes_in.clone(),
             phase: phase_seen,
         });
-        spawn_local(listen(listener, front.clone()));
+        spawn_local(accept_connections(listener, front.clone()));
         let configuration = Configuration { settings: setup.settings, front, pool: pool.clone() };
-        let directory = Directory::new(setup.deployment.names, clock.unix_start());
+        let directory = Directory::new(setup.deployment.names, clock.unix_epoch());
         let balancer = Balancer::new(terms, setup.seed);
         if let Some(discovery) = setup.discovery {
-            let limit = ListLimit { longest: setup.budget.longest_list, backoff: Backoff::new(setup.seed) };
-            spawn_local(discover(
+            let limit = ListLimit { max_bytes: setup.budget.longest_list, backoff: Backoff::new(setup.seed) };
+            spawn_local(follow_discovery(
                 discovery,
                 setup.known.version,
-                Patience::new(),
+                CallTimeouts::new(),
                 limit,
                 clock,
                 asks,
@@ -149,26 +154,32 @@
         }
         let control_status = Rc::new(Status::default());
         if let Some(control) = setup.control.clone() {
-            let follower = Follower {
+            let follower = ControlFollower {
                 name: setup.name.clone(),
                 number: own_number.into(),
                 seed: setup.seed,
-                state_bytes: memory.most / STATE_SHARE,
-                settings: settings_in,
+                max_snapshot_bytes: memory.max_bytes / STATE_SHARE,
+                settings_tx: settings_in,
                 status: control_status.clone(),
-                remembered: setup.known.targets.iter().map(|target| target.upstream.clone()).collect(),
+                initial_upstreams: setup.known.targets.iter().map(|target| target.upstream.clone()).collect(),
             };
-            spawn_local(follow_control(control, follower, notes_in.clone()));
+            spawn_local(follow_control_servers(control, follower, notes_in.clone()));
         }
-        let carrier =
-            Attempts { pool, clock, memory, notes: notes_in, asks: asks_in.clone(), probing: setup.probing };
+        let carrier = OutboundTransport {
+            pool,
+            clock,
+            memory,
+            exchange_tx: notes_in,
+            discovery_tx: asks_in.clone(),
+            probe: setup.probing,
+        };
         let mut exchange = Exchange::new(balancer, directory, carrier, SLACK);
         if setup.control.is_some() {
             exchange.await_state();
         }
         let current_at = setup.control.is_none().then(|| known_at(&setup.known, clock.now()));
         exchange.remember(clock.now(), setup.known, current_at);
-        log::info!("{} listens on {address}: {:?}", setup.name, setup.budget);
+        log::info!("{} listens on {address}: {}", setup.name, setup.budget);
         Ok(Service {
             phase,
             clock,
@@ -195,7 +206,7 @@
         let mut batch = Vec::with_capacity(BATCH);
         while !self.is_over() {
             self.note_phase();
-            let wake = self.exchange.wake_at().map(|at| self.clock.instant(at));
+            let wake = self.exchange.wake_at().map(|at| self.clock.instant_of(at));
             let ShutdownTimeline { leaving, at_most, .. } = self.shutdown;
             let turn =
                 self.told_to_end.map(|at| at + if self.is(Phase::Closing) { at_most } else { leaving });
@@ -208,7 +219,7 @@
                 _ = self.hangup.recv() => self.read_anew(),
                 Some(update) = self.settings.recv() => self.put_settings_in_force(update),
                 _ = self.notes.recv_many(&mut batch, BATCH) => {}
-                () = self.connections.changed.notified(), if self.is(Phase::Closing) => {}
+                () = self.connections.slot_freed.notified(), if self.is(Phase::Closing) => {}
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {}
             }
             self.exchange.step(self.clock.now(), batch.drain(..));
@@ -258,7 +269,7 @@
             && now != before
         {
             self.exchange.move_discovery(self.clock.now());
-            let _ended = self.asks.send(Ask::Move(now));
+            let _ended = self.asks.send(DiscoveryCommand::ChangeAddress(now));
             self.given.discovery = Some(now);
         }
     }
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -3,6 +3,7 @@
 #[cfg(test)]
 mod tests;
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use serde_json::value::RawValue;
 
 use crate::protocol::discovery::UpstreamList;
-use crate::transport::{Control, Memory, Probing};
+use crate::transport::{ControlServers, MemoryLimit, ProbeSettings};
 
 /// All that the program is told, checked.
 pub struct Setup {
@@ -21,23 +22,23 @@
     pub listen: SocketAddr,
     /// None where control servers are followed in its place.
     pub discovery: Option<SocketAddr>,
-    pub control: Option<Control>,
+    pub control: Option<ControlServers>,
     pub seed: u64,
     pub budget: Budget,
     pub known: UpstreamList,
     pub deployment: Deployment,
-    pub probing: Option<Probing>,
+    pub probing: Option<ProbeSettings>,
     pub settings: Settings,
 }
 
 /// What a configuration read anew is compared with.
 pub struct Given {
     pub discovery: Option<SocketAddr>,
-    control: Option<Control>,
+    control: Option<ControlServers>,
     name: String,
     listen: SocketAddr,
     budget: Budget,
-    probing: Option<Probing>,
+    probing: Option<ProbeSettings>,
 }
 
 impl Given {
@@ -60,11 +61,23 @@
 pub struct Budget {
     pub clients: usize,
     pub upstreams: usize,
-    pub memory: Memory,
+    pub memory: MemoryLimit,
     /// In bytes, as discovery sends them.
     pub longest_list: usize,
 }
 
+impl fmt::Display for Budget {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Budget { clients, upstreams, memory, longest_list } = self;
+        write!(
+            f,
+            "at most {clients} client connections, {upstreams} upstream connections, {} bytes of memory, \
+             {longest_list} bytes per list",
+            memory.max_bytes
+        )
+    }
+}
+
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -91,14 +104,14 @@
         1000
     }
 
-    fn read(self) -> Result<Control, String> {
+    fn read(self) -> Result<ControlServers, String> {
         if self.servers.is_empty() {
             return Err("control.servers: one address or more is accepted".into());
         }
         if !(10..=60_000).contains(&self.hold_ms) {
             return Err(format!("control.hold_ms: {}: 10 to 60000 are accepted", self.hold_ms));
         }
-        Ok(Control { servers: self.servers, hold: Duration::from_millis(self.hold_ms) })
+        Ok(ControlServers { servers: self.servers, hold: Duration::from_millis(self.hold_ms) })
     }
 }
 
@@ -114,7 +127,7 @@
         250
     }
 
-    fn read(self) -> Result<Probing, String> {
+    fn read(self) -> Result<ProbeSettings, String> {
         let path = self.path.ok_or("probe.path is missing: a path that begins with / is accepted")?;
         if !path.starts_with('/') || path.len() > 256 || !path.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(format!("probe.path: {path:?}: a path that begins with / is accepted"));
@@ -122,7 +135,7 @@
         if !(1..=10_000).contains(&self.within_ms) {
             return Err(format!("probe.within_ms: {}: 1 to 10000 are accepted", self.within_ms));
         }
-        Ok(Probing { path, within: Duration::from_millis(self.within_ms) })
+        Ok(ProbeSettings { path, timeout: Duration::from_millis(self.within_ms) })
     }
 }
 
@@ -227,7 +240,7 @@
         }
         let clients = sockets - upstreams;
         let longest_list = (most / LIST_SHARE).max(LEAST_LIST) as usize;
-        Ok(Budget { clients, upstreams, memory: Memory { most: most as usize }, longest_list })
+        Ok(Budget { clients, upstreams, memory: MemoryLimit { max_bytes: most as usize }, longest_list })
     }
 }
 
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends attempts to upstreams and reads their answers; asks upstreams for their load.
+//! Sends attempts to upstreams and reads their answers; probes upstreams for their load.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,81 +11,90 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::clock::Clock;
-use super::discovery::Ask;
-use super::memory::Memory;
-use super::pool::{Link, NoLink, Pool};
-use super::stream::{feed, write_all};
+use super::discovery::DiscoveryCommand;
+use super::memory::MemoryLimit;
+use super::pool::{ConnectError, PooledConnection, UpstreamPool};
+use super::stream::{read_into, write_all};
 use crate::protocol::upstream::{Answered, UpstreamSide, write_attempt, write_probe};
 use crate::routing::{Carrier, End, Hold, Note, Order};
 
-/// Carries attempts to upstreams, each in a task of its own.
-pub struct Attempts {
-    pub pool: Rc<Pool>,
+/// Carries out the exchange's outbound calls: attempts and probes, each in a task of its own, and commands to the
+/// discovery client.
+pub struct OutboundTransport {
+    pub pool: Rc<UpstreamPool>,
     pub clock: Clock,
-    pub memory: Memory,
-    pub notes: mpsc::UnboundedSender<Note>,
-    pub asks: mpsc::UnboundedSender<Ask>,
-    /// How upstreams are asked for their load; nobody is where it is not said.
-    pub probing: Option<Probing>,
+    pub memory: MemoryLimit,
+    /// Where the ends of attempts and probes are reported.
+    pub exchange_tx: mpsc::UnboundedSender<Note>,
+    pub discovery_tx: mpsc::UnboundedSender<DiscoveryCommand>,
+    /// How upstreams are probed for their load; none is probed where it is `None`.
+    pub probe: Option<ProbeSettings>,
 }
 
+/// How upstreams are probed for their load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Probing {
+pub struct ProbeSettings {
+    /// The path that is requested.
     pub path: String,
-    pub within: Duration,
+    /// How long a probe may take, connecting included.
+    pub timeout: Duration,
 }
 
-/// Ends its task when it is dropped, and with it the connection that the task holds.
-pub struct Task {
+/// The task of an attempt. Dropping this aborts the task, which closes its connection.
+pub struct AttemptTask {
     handle: AbortHandle,
-    written: Rc<Cell<bool>>,
+    is_written: Rc<Cell<bool>>,
 }
 
-impl Hold for Task {
+impl Hold for AttemptTask {
     fn is_written(&self) -> bool {
-        self.written.get()
+        self.is_written.get()
     }
 }
 
-impl Drop for Task {
+impl Drop for AttemptTask {
     fn drop(&mut self) {
         self.handle.abort();
     }
 }
 
-impl Carrier for Attempts {
-    type Hold = Task;
+impl Carrier for OutboundTransport {
+    type Hold = AttemptTask;
 
-    fn send(&mut self, order: Order) -> Task {
-        let (pool, clock, memory, notes) = (self.pool.clone(), self.clock, self.memory, self.notes.clone());
-        let written = Rc::new(Cell::new(false));
-        let is_written = written.clone();
+    fn send(&mut self, order: Order) -> AttemptTask {
+        let (pool, clock, memory) = (self.pool.clone(), self.clock, self.memory);
+        let exchange_tx = self.exchange_tx.clone();
+        let is_written = Rc::new(Cell::new(false));
+        let set_written = is_written.clone();
         let task = spawn_local(async move {
             let attempt = order.id.clone();
-            let end = carry(&pool, clock, memory, order, &is_written).await;
-            let _ended = notes.send(Note::Ended { attempt, end });
+            let end = run_attempt(&pool, clock, memory, order, &set_written).await;
+            let _ended = exchange_tx.send(Note::Ended { attempt, end });
         });
-        Task { handle: task.abort_handle(), written }
+        AttemptTask { handle: task.abort_handle(), is_written }
     }
 
     fn probe(&mut self, upstream: UpstreamId, address: SocketAddr) {
-        let Some(probing) = self.probing.clone() else { return };
-        let (pool, clock, memory, notes) = (self.pool.clone(), self.clock, self.memory, self.notes.clone());
+        let Some(settings) = self.probe.clone() else { return };
+        let (pool, clock, memory) = (self.pool.clone(), self.clock, self.memory);
+        let exchange_tx = self.exchange_tx.clone();
         spawn_local(async move {
-            let (start, until) = (clock.now(), Instant::now() + probing.within);
-            // Against one that never ends: it holds its connection no longer than this.
-            let asked = timeout_at(until, ask(&pool, memory, &probing.path, &upstream, address, until)).await;
-            let (outcome, load) = asked.unwrap_or((Outcome::TimedOut, Load::default()));
-            let _ended = notes.send(Note::Probed { upstream, outcome, took: clock.now() - start, load });
+            let (start, deadline) = (clock.now(), Instant::now() + settings.timeout);
+            // An upstream whose answer never ends holds the connection no longer than this.
+            let probe = run_probe(&pool, memory, &settings.path, &upstream, address, deadline);
+            let result = timeout_at(deadline, probe).await;
+            let (outcome, load) = result.unwrap_or((Outcome::TimedOut, Load::default()));
+            let _ended =
+                exchange_tx.send(Note::Probed { upstream, outcome, took: clock.now() - start, load });
         });
     }
 
     fn watch(&mut self, on: bool) {
-        let _ended = self.asks.send(Ask::Watch(on));
+        let _ended = self.discovery_tx.send(DiscoveryCommand::SetWatch(on));
     }
 
     fn fetch(&mut self) {
-        let _ended = self.asks.send(Ask::Fetch);
+        let _ended = self.discovery_tx.send(DiscoveryCommand::FetchList);
     }
 
     fn close_idle(&mut self, upstream: &str) {
@@ -93,27 +102,27 @@
     }
 }
 
-async fn ask(
-    pool: &Rc<Pool>,
-    memory: Memory,
+async fn run_probe(
+    pool: &Rc<UpstreamPool>,
+    memory: MemoryLimit,
     path: &str,
     upstream: &UpstreamId,
     address: SocketAddr,
-    until: Instant,
+    deadline: Instant,
 ) -> (Outcome, Load) {
-    let link = match pool.take(upstream, address, until).await {
-        Ok(link) => link,
-        // Our own want of connections says nothing of the upstream.
-        Err(NoLink::Budget) => return (Outcome::Moot, Load::default()),
+    let connection = match pool.acquire(upstream, address, deadline).await {
+        Ok(connection) => connection,
+        // A full pool says nothing about the upstream.
+        Err(ConnectError::PoolFull) => return (Outcome::Moot, Load::default()),
         Err(_) => return (Outcome::ConnectFailed, Load::default()),
     };
-    if write_all(&link.stream, &write_probe(path, address)).await.is_err() {
+    if write_all(&connection.stream, &write_probe(path, address)).await.is_err() {
         return (Outcome::ConnectFailed, Load::default());
     }
-    match answer(&link, memory).await {
+    match read_answer(&connection, memory).await {
         Ok(Answered { outcome, load, keep, .. }) => {
             if keep {
-                pool.keep(upstream.clone(), link);
+                pool.release(upstream.clone(), connection);
             }
             (outcome, load)
         }
@@ -121,58 +130,69 @@
     }
 }
 
-/// Whether an attempt may have run turns on its last byte: until that is written it can't have, from then on
-/// it may have. Nothing is ever written twice, so that the decisions alone repeat a request.
-async fn carry(pool: &Rc<Pool>, clock: Clock, memory: Memory, order: Order, written: &Cell<bool>) -> End {
-    let until = clock.instant(order.until);
-    let link = match pool.take(&order.upstream, order.address, until).await {
-        Ok(link) => link,
-        Err(why) => {
-            log::debug!("{} {}: {} can't be reached: {why:?}", order.id.0, order.id.1, order.upstream);
+/// Sends an attempt and reads its answer.
+///
+/// The upstream can't have run the attempt until its last byte is written, and may have run it from then on;
+/// `is_written` is set at that moment. Nothing is ever written twice, so that only the decisions retry a request.
+async fn run_attempt(
+    pool: &Rc<UpstreamPool>,
+    clock: Clock,
+    memory: MemoryLimit,
+    order: Order,
+    is_written: &Cell<bool>,
+) -> End {
+    let deadline = clock.instant_of(order.until);
+    let connection = match pool.acquire(&order.upstream, order.address, deadline).await {
+        Ok(connection) => connection,
+        Err(error) => {
+            let (request, attempt) = &order.id;
+            log::debug!("request {request} attempt {attempt}: can't connect to {}: {error}", order.upstream);
             return Outcome::ConnectFailed.into();
         }
     };
-    // Of a process that was held up, all that came meanwhile is told at once: a client that has gone must be heard
-    // of before anything is sent for it, and its task may be behind this one.
+    // After a pause of the whole process, everything that arrived meanwhile becomes ready at once. Yielding lets the
+    // task of a client that has disconnected run first, so that nothing is sent for that client.
     yield_now().await;
     if order.begin_by.is_some_and(|by| by <= clock.now()) {
         return Outcome::Moot.into();
     }
     let bytes = write_attempt(&order.id.0, &order.message, order.until.saturating_sub(clock.now()));
-    if !matches!(timeout_at(until, write_all(&link.stream, &bytes)).await, Ok(Ok(()))) {
+    if !matches!(timeout_at(deadline, write_all(&connection.stream, &bytes)).await, Ok(Ok(()))) {
         return Outcome::ConnectFailed.into();
     }
-    written.set(true);
+    is_written.set(true);
     drop(bytes);
-    match timeout_at(until, answer(&link, memory)).await {
+    match timeout_at(deadline, read_answer(&connection, memory)).await {
         Err(_) => Outcome::TimedOut.into(),
         Ok(Err(outcome)) => outcome.into(),
         Ok(Ok(answered)) => {
-            if answered.keep && Instant::now() < until {
-                pool.keep(order.upstream, link);
+            if answered.keep && Instant::now() < deadline {
+                pool.release(order.upstream, connection);
             }
             End { outcome: answered.outcome, reply: answered.reply, load: answered.load }
         }
     }
 }
 
-/// Whether the connection ended without a word or said what is no whole answer makes a difference: the one
-/// may be a dead upstream's, the other is a live one's.
-async fn answer(link: &Link, memory: Memory) -> Result<Answered, Outcome> {
+/// Reads one whole answer. A connection that ends before any byte of it is told from one that ends within it or brings
+/// a malformed one: the upstream may be dead in the first case, and is alive in the other.
+async fn read_answer(connection: &PooledConnection, memory: MemoryLimit) -> Result<Answered, Outcome> {
     let mut side = UpstreamSide::new();
     loop {
-        let ended = |side: &UpstreamSide| if side.has_begun() { Outcome::Spoilt } else { Outcome::Reset };
-        let count = feed(&link.stream, side.input()).await.map_err(|_| ended(&side))?;
-        if memory.is_out() {
-            log::warn!("memory is out: an answer is given up");
+        let closed_outcome =
+            |side: &UpstreamSide| if side.has_begun() { Outcome::Spoilt } else { Outcome::Reset };
+        let read = read_into(&connection.stream, side.input()).await;
+        let count = read.map_err(|_| closed_outcome(&side))?;
+        if memory.is_exhausted() {
+            log::warn!("memory limit reached: dropped an upstream's answer");
             return Err(Outcome::Spoilt);
         }
         match side.next(count == 0) {
             Ok(Some(answered)) => return Ok(answered),
-            Ok(None) if count == 0 => return Err(ended(&side)),
+            Ok(None) if count == 0 => return Err(closed_outcome(&side)),
             Ok(None) => {}
-            Err(fault) => {
-                log::warn!("an upstream's answer is refused: {fault}");
+            Err(error) => {
+                log::warn!("rejected an upstream's answer: {error}");
                 return Err(Outcome::Spoilt);
             }
         }
--- a/crates/pondlb-server/src/transport/backoff.rs
+++ b/crates/pondlb-server/src/transport/backoff.rs
@@ -1,37 +1,37 @@
-//! How long to wait before a retry.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use nanorand::{Rng, WyRand};
 
-/// Waits that double from [`FIRST`] to [`LONGEST`], with jitter, so that balancers that failed together do not
-/// retry together.
+/// Retry delays that double from [`INITIAL_DELAY`] to [`MAX_DELAY`]. They have jitter, so that balancers whose calls
+/// failed at the same time do not retry at the same time.
 pub struct Backoff {
-    span: Duration,
+    delay: Duration,
     rng: WyRand,
 }
 
-const FIRST: Duration = Duration::from_secs(1);
-const LONGEST: Duration = Duration::from_secs(60);
-/// A wait is at least this share of its span.
-const LEAST_SHARE: f64 = 0.75;
+const INITIAL_DELAY: Duration = Duration::from_secs(1);
+const MAX_DELAY: Duration = Duration::from_secs(60);
+/// With jitter, a delay is between this factor and 1 times its nominal length.
+const MIN_JITTER_FACTOR: f64 = 0.75;
 
 impl Backoff {
-    /// `seed` is where the jitter starts from.
+    /// Creates a backoff that starts with [`INITIAL_DELAY`]. `seed` seeds the jitter.
     pub fn new(seed: u64) -> Self {
-        Backoff { span: FIRST, rng: WyRand::new_seed(seed) }
+        Backoff { delay: INITIAL_DELAY, rng: WyRand::new_seed(seed) }
     }
 
-    /// The wait before the next retry; the one after it will be twice as long.
-    pub fn next_wait(&mut self) -> Duration {
-        let share = LEAST_SHARE + (1.0 - LEAST_SHARE) * self.rng.generate::<f64>();
-        let wait = self.span.mul_f64(share);
-        self.span = (2 * self.span).min(LONGEST);
-        wait
+    /// Returns the delay before the next retry and doubles the one after it.
+    pub fn next_delay(&mut self) -> Duration {
+        let factor = MIN_JITTER_FACTOR + (1.0 - MIN_JITTER_FACTOR) * self.rng.generate::<f64>();
+        let delay = self.delay.mul_f64(factor);
+        self.delay = (2 * self.delay).min(MAX_DELAY);
+        delay
     }
 
-    /// A try has succeeded.
+    /// Starts again with [`INITIAL_DELAY`]; called after a success.
     pub fn reset(&mut self) {
-        self.span = FIRST;
+        self.delay = INITIAL_DELAY;
     }
 }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -13,51 +13,66 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::connection_table::{ConnectionTable, EvictionGuard, Place};
+use super::connection_table::{ConnectionSlot, ConnectionTable, EvictionGuard};
 use super::phase::Phase;
-use super::stream::{Waiting, closed, feed, read, waiting, write_all};
+use super::stream::{ReceiveState, read_available, read_into, receive_state, wait_until_closed, write_all};
 use crate::protocol::answer::Answer;
 use crate::protocol::client::{
     Asked, Classes, ClientSide, LEAVE_TO_SEND, Wish, write_answer, write_fault, write_health, write_too_slow,
 };
 use crate::routing::Note;
 
-/// A connection is closed after so long without a request, and sooner if there never was one: hundreds that
-/// say nothing would take all the places.
-const IDLE: Duration = Duration::from_secs(60);
-const NEVER_ASKED: Duration = Duration::from_secs(2);
-/// A request must be whole so long after its first byte, or slow clients pin memory.
-const SLOWEST: Duration = Duration::from_millis(2500);
-/// An answer must be taken within this, for the same reason.
-const SLOWEST_ANSWER: Duration = Duration::from_secs(10);
-/// How long a closed connection is read on, since unread bytes would reset it and take the answer with them.
-const LINGER: Duration = Duration::from_millis(200);
-/// And how far: reading all of a huge body that is refused would take the core from the others.
-const MOST_LINGERED: usize = 512 * 1024;
-/// The same for what is sent ahead of an answer, beyond what is kept.
-const MOST_THROWN_AWAY: usize = 1024 * 1024;
+/// A connection is closed when no further request has arrived for this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// A connection is closed when its first request has not begun by then. It is shorter than [`IDLE_TIMEOUT`] because
+/// hundreds of connections that send nothing would fill the connection table.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// A request must be complete this long after its first byte, or slow clients would pin memory.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The client must have accepted an answer within this time, or slow clients would pin memory.
+const ANSWER_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection is read after its write side was shut down. Closing it over unread bytes would reset it, and
+/// the client could lose the last answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// How much is read at most from a lingering connection. Reading all of a huge rejected body would take processor time
+/// from other connections.
+const MAX_LINGER_BYTES: usize = 512 * 1024;
+/// How much is read and discarded at most of what a client sends ahead while its answer is due, beyond what the read
+/// buffer holds.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
 /// What all client connections share.
-pub struct Front {
+pub struct Frontend {
     pub connections: Rc<ConnectionTable>,
+    /// The classes that requests may name.
     pub classes: RefCell<Classes>,
-    pub cool_down: Cell<Option<TenthMillis>>,
-    pub notes: mpsc::UnboundedSender<Note>,
+    /// The wait advised to clients whose requests are rejected for overload before they are read; none is advised
+    /// where it is `None`.
+    pub overload_retry_after: Cell<Option<TenthMillis>>,
+    /// Where requests, and clients that disconnect, are reported.
+    pub exchange_tx: mpsc::UnboundedSender<Note>,
     pub phase: watch::Receiver<Phase>,
 }
 
-enum Next {
-    Asked(Asked),
-    Fault(MessageError),
-    TooSlow,
-    Overloaded,
-    /// The balancer ends the connection, on which nothing is owed.
-    Ends,
-    Over,
+/// What comes next on a connection.
+enum NextStep {
+    /// A complete request has arrived.
+    Serve(Asked),
+    /// The input is not a valid request.
+    RejectMalformed(MessageError),
+    /// The request did not arrive in time.
+    RejectSlow,
+    /// There is no room or no memory for the request.
+    RejectOverload,
+    /// The balancer closes the connection, on which no answer is due.
+    CloseIdle,
+    /// The client has disconnected.
+    Disconnected,
 }
 
-impl Front {
-    /// Requests that are read from now on may name these classes, or no longer.
+impl Frontend {
+    /// Adds, renumbers and removes classes. A class without a number is removed. Requests that are read from now on may
+    /// name the classes that are left.
     pub fn change_classes(&self, changes: Vec<(String, Option<u32>)>) {
         let mut classes = self.classes.borrow_mut();
         for (name, number) in changes {
@@ -68,178 +83,191 @@
         }
     }
 
-    pub async fn serve(self: Rc<Self>, stream: TcpStream, place: Place) {
+    /// Serves the requests of one connection until it ends.
+    pub async fn serve(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
         let _unset = stream.set_nodelay(true);
         let mut side = ClientSide::new();
-        let mut asked_before = false;
+        let mut is_used = false;
         loop {
-            let next = self.next(&stream, &mut side, &place, asked_before).await;
-            asked_before = true;
-            let (bytes, last) = match next {
-                Next::Asked(asked) => match self.answer(&stream, &mut side, asked).await {
-                    Some(answered) => answered,
+            let step = self.next_step(&stream, &mut side, &slot, is_used).await;
+            is_used = true;
+            let (bytes, is_last) = match step {
+                NextStep::Serve(asked) => match self.serve_request(&stream, &mut side, asked).await {
+                    Some(answer) => answer,
                     None => return,
                 },
-                Next::Fault(fault) => {
-                    log::debug!("a request is refused: {fault}");
-                    (write_fault(fault), true)
+                NextStep::RejectMalformed(error) => {
+                    log::debug!("rejected a malformed request: {error}");
+                    (write_fault(error), true)
                 }
-                Next::TooSlow => (write_too_slow(), true),
-                Next::Overloaded => {
-                    (write_answer(&Answer::Rejected { cool_down: self.cool_down.get() }, true), true)
+                NextStep::RejectSlow => (write_too_slow(), true),
+                NextStep::RejectOverload => {
+                    let answer = Answer::Rejected { cool_down: self.overload_retry_after.get() };
+                    (write_answer(&answer, true), true)
                 }
-                Next::Ends => return linger(&stream, place).await,
-                Next::Over => return,
+                NextStep::CloseIdle => return close_gracefully(&stream, slot).await,
+                NextStep::Disconnected => return,
             };
-            let written = timeout(SLOWEST_ANSWER, write_all(&stream, &bytes)).await;
+            let written = timeout(ANSWER_WRITE_TIMEOUT, write_all(&stream, &bytes)).await;
             if !matches!(written, Ok(Ok(()))) {
                 return;
             }
-            if last {
-                return linger(&stream, place).await;
+            if is_last {
+                return close_gracefully(&stream, slot).await;
             }
         }
     }
 
-    async fn next(
+    /// Reads from the connection until a request is complete or something else ends the wait. `is_used` says whether
+    /// a request has been served on the connection before.
+    async fn next_step(
         &self,
         stream: &TcpStream,
         side: &mut ClientSide,
-        place: &Place,
-        asked_before: bool,
-    ) -> Next {
+        slot: &ConnectionSlot,
+        is_used: bool,
+    ) -> NextStep {
         let mut phase = self.phase.clone();
-        let mut slow = None;
+        let mut receiving = None;
         loop {
             match side.next(&self.classes.borrow()) {
-                Ok(Some(_)) if self.connections.turns_away() => return Next::Overloaded,
-                Ok(Some(asked)) if !asked.is_health() && place.is_excess() => return Next::Overloaded,
-                Ok(Some(asked)) => return Next::Asked(asked),
+                Ok(Some(_)) if self.connections.must_reject_request() => return NextStep::RejectOverload,
+                Ok(Some(asked)) if !asked.is_health() && slot.is_excess() => return NextStep::RejectOverload,
+                Ok(Some(asked)) => return NextStep::Serve(asked),
                 Ok(None) => {}
-                Err(fault) => return Next::Fault(fault),
+                Err(error) => return NextStep::RejectMalformed(error),
             }
-            // Before its body is read: hundreds of them let in at once would cost more memory than there is.
-            if !side.is_idle() && (place.is_excess() || self.connections.turns_away()) {
-                return Next::Overloaded;
+            // Rejects the request before its body is read: the bodies of hundreds of requests at once would not fit
+            // into memory.
+            if !side.is_idle() && (slot.is_excess() || self.connections.must_reject_request()) {
+                return NextStep::RejectOverload;
             }
             if side.wants_leave_to_send() && write_all(stream, LEAVE_TO_SEND).await.is_err() {
-                return Next::Over;
+                return NextStep::Disconnected;
             }
-            let count = if side.is_idle() {
-                let idle = if asked_before { place.idle() } else { place.fresh() };
-                let most = if asked_before { IDLE } else { NEVER_ASKED };
+            let read = if side.is_idle() {
+                let eviction = if is_used { slot.mark_idle() } else { slot.mark_unused() };
+                let idle_timeout = if is_used { IDLE_TIMEOUT } else { FIRST_REQUEST_TIMEOUT };
                 tokio::select! {
                     biased;
-                    count = feed(stream, side.input()) => count,
-                    _ = closing(&mut phase, &idle, most) => {
-                        // What has come meanwhile is served; the client would else have to send it again.
-                        match waiting(stream) {
-                            Waiting::Bytes => {}
-                            Waiting::Nothing => return Next::Ends,
-                            Waiting::End => return Next::Over,
+                    read = read_into(stream, side.input()) => read,
+                    () = idle_end(&mut phase, &eviction, idle_timeout) => {
+                        // A request that has arrived meanwhile is served; the client would have to send it again
+                        // otherwise.
+                        match receive_state(stream) {
+                            ReceiveState::HasData => {}
+                            ReceiveState::Empty => return NextStep::CloseIdle,
+                            ReceiveState::Closed => return NextStep::Disconnected,
                         }
-                        // The runtime has not heard of them: without a turn it would never.
+                        // The runtime does not know of the input yet, and learns of it only when this task yields.
                         yield_now().await;
                         continue;
                     }
                 }
             } else {
-                let (until, slow) = slow.get_or_insert_with(|| (Instant::now() + SLOWEST, place.slow()));
+                let (deadline, eviction) = receiving
+                    .get_or_insert_with(|| (Instant::now() + REQUEST_READ_TIMEOUT, slot.mark_receiving()));
                 tokio::select! {
                     biased;
-                    count = feed(stream, side.input()) => count,
-                    () = slow.evicted() => return Next::TooSlow,
-                    () = sleep_until(*until) => return Next::TooSlow,
+                    read = read_into(stream, side.input()) => read,
+                    () = eviction.evicted() => return NextStep::RejectSlow,
+                    () = sleep_until(*deadline) => return NextStep::RejectSlow,
                 }
             };
-            if !matches!(count, Ok(1..)) {
-                return Next::Over;
+            if !matches!(read, Ok(1..)) {
+                return NextStep::Disconnected;
             }
         }
     }
 
-    /// The answer and whether it is the last on this connection; None when the client has left.
-    async fn answer(
+    /// Returns the answer as written to the client, and whether the connection ends with it; `None` when the client has
+    /// disconnected.
+    async fn serve_request(
         &self,
         stream: &TcpStream,
         side: &mut ClientSide,
         asked: Asked,
     ) -> Option<(Vec<u8>, bool)> {
-        let overrun = Cell::new(false);
-        let last = |asked_last| asked_last || overrun.get() || *self.phase.borrow() >= Phase::Closing;
+        let has_discarded_input = Cell::new(false);
+        let is_last =
+            |asked_last| asked_last || has_discarded_input.get() || *self.phase.borrow() >= Phase::Closing;
         let (arrival, message) = match asked.wish {
             Wish::Health => {
-                let ready = *self.phase.borrow() == Phase::Serving;
-                let last = last(asked.last);
-                return Some((write_health(ready, last), last));
+                let is_ready = *self.phase.borrow() == Phase::Serving;
+                let is_last = is_last(asked.last);
+                return Some((write_health(is_ready, is_last), is_last));
             }
             Wish::Request { arrival, message } => (arrival, message),
         };
         let request = arrival.request.clone();
         let (answer, mut answered) = oneshot::channel();
-        self.notes.send(Note::Arrived { arrival, message, answer }).ok()?;
+        self.exchange_tx.send(Note::Arrived { arrival, message, answer }).ok()?;
         tokio::select! {
             biased;
             answer = &mut answered => {
                 let answer = answer.ok()?;
-                let last = last(asked.last) || answer == Answer::Duplicate;
-                Some((write_answer(&answer, last), last))
+                let is_last = is_last(asked.last) || answer == Answer::Duplicate;
+                Some((write_answer(&answer, is_last), is_last))
             }
-            () = leaves(stream, side, &overrun) => {
-                self.left(request);
+            () = wait_for_disconnect(stream, side, &has_discarded_input) => {
+                self.report_disconnect(request);
                 None
             }
         }
     }
 
-    fn left(&self, request: RequestId) {
-        // The exchange outlives every connection but at the very end, when nothing is owed.
-        let _ended = self.notes.send(Note::Left { request });
+    fn report_disconnect(&self, request: RequestId) {
+        // The exchange outlives every connection but at the very end, when no answer is due any more.
+        let _ended = self.exchange_tx.send(Note::Left { request });
     }
 }
 
-async fn closing(phase: &mut watch::Receiver<Phase>, idle: &EvictionGuard<'_>, most: Duration) {
+/// Returns when an idle connection is to be closed: for the program's end, for another connection, or because it has
+/// been idle for too long.
+async fn idle_end(phase: &mut watch::Receiver<Phase>, eviction: &EvictionGuard<'_>, idle_timeout: Duration) {
     tokio::select! {
         _ = phase.wait_for(|phase| *phase >= Phase::Closing) => {}
-        () = idle.evicted() => {}
-        () = sleep(most) => {}
+        () = eviction.evicted() => {}
+        () = sleep(idle_timeout) => {}
     }
 }
 
-/// Returns when the client closes its side. What it sends ahead meanwhile is kept up to the buffer's bound, beyond
-/// which nothing ahead is served: it is read on and thrown away, since a close comes behind all that was sent.
-async fn leaves(stream: &TcpStream, side: &mut ClientSide, overrun: &Cell<bool>) {
+/// Returns when the client closes its side. Requests that it pipelines meanwhile are kept as far as the read buffer
+/// reaches. Beyond that, input is read and discarded, since a close is seen only after everything sent before it; then
+/// no pipelined request is served.
+async fn wait_for_disconnect(stream: &TcpStream, side: &mut ClientSide, has_discarded_input: &Cell<bool>) {
     while !side.input().spare_capacity_mut().is_empty() {
-        if !matches!(feed(stream, side.input()).await, Ok(1..)) {
+        if !matches!(read_into(stream, side.input()).await, Ok(1..)) {
             return;
         }
     }
-    overrun.set(true);
-    if !throw_away(stream, MOST_THROWN_AWAY).await {
-        closed(stream).await;
+    has_discarded_input.set(true);
+    if !discard_input(stream, MAX_DISCARDED_BYTES).await {
+        wait_until_closed(stream).await;
     }
 }
 
-/// Reads to the end of what the other side sends, which is true, or so much of it.
-async fn throw_away(stream: &TcpStream, most: usize) -> bool {
-    let (mut rest, mut left) = (vec![0; 16 * 1024], most);
-    while let Ok(count @ 1..) = read(stream, &mut rest).await {
-        left = left.saturating_sub(count);
-        if left == 0 {
+/// Reads and discards input. Returns true when the peer has closed its side, and false after `max_bytes`.
+async fn discard_input(stream: &TcpStream, max_bytes: usize) -> bool {
+    let (mut buffer, mut remaining) = (vec![0; 16 * 1024], max_bytes);
+    while let Ok(count @ 1..) = read_available(stream, &mut buffer).await {
+        remaining = remaining.saturating_sub(count);
+        if remaining == 0 {
             return false;
         }
-        // Against one that sends without end: the others have their turns.
+        // Lets other tasks run even if this client sends without a pause.
         yield_now().await;
     }
     true
 }
 
-/// Ends its own side, and reads on for a moment what has crossed that: a close over it would reset the connection, and
-/// take an answer with it that the client has not read yet. Nothing that is read here is served.
-async fn linger(stream: &TcpStream, place: Place) {
-    let _place = place.linger();
+/// Shuts down the write side and reads for a moment what the client sent before it noticed. Closing the connection over
+/// unread bytes would reset it, and the client could lose an answer that it has not read yet. Nothing read here is
+/// served.
+async fn close_gracefully(stream: &TcpStream, slot: ConnectionSlot) {
+    let _slot = slot.linger();
     if SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let _late = timeout(LINGER, throw_away(stream, MOST_LINGERED)).await;
+    let _is_late = timeout(LINGER_TIMEOUT, discard_input(stream, MAX_LINGER_BYTES)).await;
 }
--- a/crates/pondlb-server/src/transport/connection_table.rs
+++ b/crates/pondlb-server/src/transport/connection_table.rs
@@ -1,4 +1,4 @@
-//! Which client connections there are, and which of them may be closed when there is no room for more.
+//! The client connections, and which of them may be closed to make room for more.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,151 +8,175 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::memory::Memory;
+use super::memory::MemoryLimit;
 
-/// The client connections: how many there are, and which stand idle, without a byte of a request. The others
-/// are busy.
+/// Counts the client connections and knows which may be evicted. A connection is idle while no byte of a request has
+/// been read from it, and busy otherwise.
 pub struct ConnectionTable {
-    most: usize,
-    most_busy: Cell<usize>,
-    memory: Memory,
+    /// How many connections may be open, beside the reserve.
+    max_open: usize,
+    /// How many connections may be busy.
+    max_busy: Cell<usize>,
+    memory: MemoryLimit,
     open: Cell<usize>,
-    /// Those that have been told that they end, and are only read on for a moment.
+    /// Connections whose write side is shut down, and which are only read for a moment longer.
     lingering: Cell<usize>,
-    next: Cell<u64>,
-    /// Idle ones that never asked for anything, and those that did.
-    fresh: EvictionQueue,
+    next_eviction_number: Cell<u64>,
+    /// Idle connections that never sent a request.
+    unused: EvictionQueue,
+    /// Idle connections that have sent a request before.
     idle: EvictionQueue,
-    /// Those that have sent a part of a request.
-    slow: EvictionQueue,
-    pub changed: Notify,
+    /// Connections on which a part of a request has arrived.
+    receiving: EvictionQueue,
+    /// Notified when a connection is closed or begins to linger.
+    pub slot_freed: Notify,
 }
 
 impl ConnectionTable {
-    pub fn new(most: usize, most_busy: usize, memory: Memory) -> Rc<Self> {
+    /// Creates an empty table.
+    pub fn new(max_open: usize, max_busy: usize, memory: MemoryLimit) -> Rc<Self> {
         Rc::new(ConnectionTable {
-            most,
-            most_busy: Cell::new(most_busy),
+            max_open,
+            max_busy: Cell::new(max_busy),
             memory,
             open: Cell::new(0),
             lingering: Cell::new(0),
-            next: Cell::new(0),
-            fresh: EvictionQueue::default(),
+            next_eviction_number: Cell::new(0),
+            unused: EvictionQueue::default(),
             idle: EvictionQueue::default(),
-            slow: EvictionQueue::default(),
-            changed: Notify::new(),
+            receiving: EvictionQueue::default(),
+            slot_freed: Notify::new(),
         })
     }
 
-    /// How many may be busy from now on; those that are stay.
-    pub fn set_most_busy(&self, most_busy: usize) {
-        self.most_busy.set(most_busy);
+    /// Changes how many connections may be busy. Those that are busy now stay so.
+    pub fn set_max_busy(&self, max_busy: usize) {
+        self.max_busy.set(max_busy);
     }
 
+    /// Whether there is no connection, not even a lingering one.
     pub fn is_empty(&self) -> bool {
         self.open.get() + self.lingering.get() == 0
     }
 
-    pub fn is_over(&self) -> bool {
-        self.open.get() > self.most
+    /// Whether more connections are open than are allowed beside the reserve.
+    pub fn is_over_limit(&self) -> bool {
+        self.open.get() > self.max_open
     }
 
-    /// With its reserve, so that not even another can be taken.
-    pub fn is_full(&self) -> bool {
-        self.open.get() + self.lingering.get() >= self.most + RESERVE
+    /// Whether the reserve is used up as well, so that no connection may be accepted.
+    pub fn is_reserve_used_up(&self) -> bool {
+        self.open.get() + self.lingering.get() >= self.max_open + RESERVED_CONNECTIONS
     }
 
-    /// Memory is short, or more are busy than may be. One that is slow with its request makes room for
-    /// another's: it has been taken from nobody yet.
-    pub fn turns_away(&self) -> bool {
-        let busy = self.open.get() - self.idle.borrow().len() - self.fresh.borrow().len();
-        (busy > self.most_busy.get() || self.memory.is_short()) && !evict_first(&self.slow, Some(SLOW))
+    /// Whether a request must be rejected: memory is low or too many connections are busy, and no connection that is
+    /// slow to send its request could be evicted instead. Evicting a slow one costs no client an admitted request.
+    pub fn must_reject_request(&self) -> bool {
+        let busy = self.open.get() - self.idle.borrow().len() - self.unused.borrow().len();
+        let is_overloaded = busy > self.max_busy.get() || self.memory.is_low();
+        is_overloaded && !evict_oldest(&self.receiving, Some(MIN_RECEIVING_BEFORE_EVICTION))
     }
 
-    /// Room is made only for one that has come: closing idle ones ahead would cost clients theirs for nothing.
-    pub fn enter(self: &Rc<Self>) -> Place {
+    /// Adds an accepted connection, and evicts an idle one if it is one too many. Nothing is evicted in advance, which
+    /// would close clients' connections for nothing.
+    pub fn register(self: &Rc<Self>) -> ConnectionSlot {
         self.open.set(self.open.get() + 1);
-        let excess = Cell::new(self.is_over() && !self.evict_one_idle());
-        Place { table: self.clone(), excess, lingers: false }
+        let is_excess = Cell::new(self.is_over_limit() && !self.evict_one_idle());
+        ConnectionSlot { table: self.clone(), is_excess, is_lingering: false }
     }
 
-    /// Tells one to close: of those that said nothing for a while, else of those that stand idle, the one
-    /// that does so longest. Clients with a connection for each of their requests need theirs.
+    /// Tells one idle connection to close, and returns whether there was one. It is the oldest that never sent a
+    /// request, if it has waited for [`MIN_UNUSED_BEFORE_EVICTION`], else the one that has been idle longest. Used
+    /// connections come second because clients that open a connection for each concurrent request need theirs.
     pub fn evict_one_idle(&self) -> bool {
-        evict_first(&self.fresh, Some(SILENT)) || evict_first(&self.idle, None)
+        evict_oldest(&self.unused, Some(MIN_UNUSED_BEFORE_EVICTION)) || evict_oldest(&self.idle, None)
     }
 }
 
-/// Connections that may be evicted, in the order in which they came to be so, with what tells each.
-type EvictionQueue = RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>;
+/// Connections that may be evicted, oldest first.
+type EvictionQueue = RefCell<BTreeMap<u64, EvictionCandidate>>;
 
-/// Taken beyond the most, of the descriptors that are kept for the program's own use: for who asks whether it is ready,
-/// to turn others away, and while those that were told to close are read on.
-const RESERVE: usize = 16;
-const SLOW: Duration = Duration::from_millis(500);
-const SILENT: Duration = Duration::from_millis(250);
+struct EvictionCandidate {
+    /// When the connection entered the queue.
+    since: Instant,
+    /// Tells the connection's task to close it.
+    evict: Rc<Notify>,
+}
 
-/// False when there is none, or none that has stood there for so long.
-fn evict_first(queue: &EvictionQueue, after: Option<Duration>) -> bool {
+/// How many connections may be open beyond the limit; their descriptors come from those kept for the program's own
+/// use. They serve health checks, reject requests while the table is full, and cover lingering connections.
+const RESERVED_CONNECTIONS: usize = 16;
+/// A connection that has sent a part of a request may be evicted after this time.
+const MIN_RECEIVING_BEFORE_EVICTION: Duration = Duration::from_millis(500);
+/// A connection that has sent nothing yet may be evicted after this time.
+const MIN_UNUSED_BEFORE_EVICTION: Duration = Duration::from_millis(250);
+
+/// Evicts the connection that has been in the queue longest. Returns false if there is none, or if it has been there
+/// for less than `min_age`.
+fn evict_oldest(queue: &EvictionQueue, min_age: Option<Duration>) -> bool {
     let mut queue = queue.borrow_mut();
-    let Some(first) = queue.first_entry() else { return false };
-    if after.is_some_and(|after| first.get().0.elapsed() < after) {
+    let Some(oldest) = queue.first_entry() else { return false };
+    if min_age.is_some_and(|min_age| oldest.get().since.elapsed() < min_age) {
         return false;
     }
-    first.remove().1.notify_one();
+    oldest.remove().evict.notify_one();
     true
 }
 
-/// One connection's place; leaving it makes room for another.
-pub struct Place {
+/// A connection's entry in the table; dropping it frees the slot.
+pub struct ConnectionSlot {
     table: Rc<ConnectionTable>,
-    /// It came when there was no room, and none could be made.
-    excess: Cell<bool>,
-    lingers: bool,
+    /// The connection was accepted beyond the limit, and none could be evicted for it.
+    is_excess: Cell<bool>,
+    is_lingering: bool,
 }
 
-impl Place {
-    /// Whether there is no room for its requests, still.
+impl ConnectionSlot {
+    /// Whether the connection was one too many when it was accepted and the table is still over its limit.
     pub fn is_excess(&self) -> bool {
-        self.excess.set(self.excess.get() && self.table.is_over());
-        self.excess.get()
+        self.is_excess.set(self.is_excess.get() && self.table.is_over_limit());
+        self.is_excess.get()
     }
 
-    /// Its connection has been told that it ends; another may come.
-    pub fn linger(mut self) -> Place {
-        self.lingers = true;
+    /// Counts the connection as lingering instead of open, so that another may be accepted.
+    pub fn linger(mut self) -> ConnectionSlot {
+        self.is_lingering = true;
         self.table.open.set(self.table.open.get() - 1);
         self.table.lingering.set(self.table.lingering.get() + 1);
-        self.table.changed.notify_one();
+        self.table.slot_freed.notify_one();
         self
     }
 
-    pub fn idle(&self) -> EvictionGuard<'_> {
+    /// Marks the connection as idle after a request, for as long as the guard lives.
+    pub fn mark_idle(&self) -> EvictionGuard<'_> {
         self.make_evictable(&self.table.idle)
     }
 
-    pub fn fresh(&self) -> EvictionGuard<'_> {
-        self.make_evictable(&self.table.fresh)
+    /// Marks the connection as idle before its first request, for as long as the guard lives.
+    pub fn mark_unused(&self) -> EvictionGuard<'_> {
+        self.make_evictable(&self.table.unused)
     }
 
-    pub fn slow(&self) -> EvictionGuard<'_> {
-        self.make_evictable(&self.table.slow)
+    /// Marks the connection as receiving a request, for as long as the guard lives.
+    pub fn mark_receiving(&self) -> EvictionGuard<'_> {
+        self.make_evictable(&self.table.receiving)
     }
 
     fn make_evictable<'a>(&'a self, queue: &'a EvictionQueue) -> EvictionGuard<'a> {
-        let number = self.table.next.get();
-        self.table.next.set(number + 1);
-        let close = Rc::new(Notify::new());
-        queue.borrow_mut().insert(number, (Instant::now(), close.clone()));
-        EvictionGuard { queue, number, close }
+        let number = self.table.next_eviction_number.get();
+        self.table.next_eviction_number.set(number + 1);
+        let evict = Rc::new(Notify::new());
+        let candidate = EvictionCandidate { since: Instant::now(), evict: evict.clone() };
+        queue.borrow_mut().insert(number, candidate);
+        EvictionGuard { queue, number, evict }
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        let count = if self.lingers { &self.table.lingering } else { &self.table.open };
+        let count = if self.is_lingering { &self.table.lingering } else { &self.table.open };
         count.set(count.get() - 1);
-        self.table.changed.notify_one();
+        self.table.slot_freed.notify_one();
     }
 }
 
@@ -160,13 +184,13 @@
 pub struct EvictionGuard<'a> {
     queue: &'a EvictionQueue,
     number: u64,
-    close: Rc<Notify>,
+    evict: Rc<Notify>,
 }
 
 impl EvictionGuard<'_> {
-    /// Returns when the connection is to be closed for another.
+    /// Returns when the connection is to be closed to make room for another.
     pub async fn evicted(&self) {
-        self.close.notified().await;
+        self.evict.notified().await;
     }
 }
 
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -1,4 +1,4 @@
-//! Follows the control servers and hands their updates over, a slice at a time.
+//! Follows the control servers and applies their updates in small steps.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,126 +14,137 @@
 use crate::protocol::discovery::UpstreamList;
 use crate::routing::Note;
 
-/// So many records change in one turn of the loop: requests are served between.
-const SLICE: usize = 64;
-/// New versions are logged so often at most, except for debugging.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+/// How many records are applied at once. Requests are served between one step of an update and the next.
+const MAX_RECORDS_PER_STEP: usize = 64;
+/// A new version is logged at level info at most this often; the others are logged at level debug.
+const VERSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Which control servers are followed, and how.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Control {
+pub struct ControlServers {
     pub servers: Vec<SocketAddr>,
+    /// How long a server may hold a call until there are changes.
     pub hold: Duration,
 }
 
-/// Who follows them.
-pub struct Follower {
+/// The balancer as a follower of the control servers.
+pub struct ControlFollower {
     pub name: String,
-    /// Number among the balancers, which are spread over the servers by it.
+    /// The balancer's number; balancers are spread over the servers by it.
     pub number: u64,
+    /// Seeds the random choices of the follower.
     pub seed: u64,
-    /// Most bytes of a whole state that is taken.
-    pub state_bytes: usize,
-    /// Where changes of the settings go.
-    pub settings: mpsc::UnboundedSender<SettingsUpdate>,
-    /// What control servers are told of records that can't be put in force.
+    /// The longest snapshot that is accepted, in bytes.
+    pub max_snapshot_bytes: usize,
+    /// Where changes of the settings are sent.
+    pub settings_tx: mpsc::UnboundedSender<SettingsUpdate>,
+    /// What is reported to the control servers, among it the number of records that could not be applied.
     pub status: Rc<Status>,
-    /// Upstreams known before the first whole state: what that does not name has been removed.
-    pub remembered: BTreeSet<String>,
+    /// The upstreams known before the first snapshot. Those that the snapshot lacks have been removed meanwhile.
+    pub initial_upstreams: BTreeSet<String>,
 }
 
-/// Classes, tenants and limits to put in force.
+/// Changes of classes, tenants and limits that are to be applied.
 #[derive(Debug)]
 pub struct SettingsUpdate {
     pub changes: Vec<Change>,
-    /// To be told once they are in force.
+    /// Notified once the changes are applied.
     pub applied: oneshot::Sender<()>,
 }
 
-/// Follows the control servers for as long as the program runs.
-pub async fn follow_control(control: Control, follower: Follower, notes: mpsc::UnboundedSender<Note>) {
-    let Follower { name, number, seed, state_bytes, settings, status, remembered } = follower;
-    let limits = Limits { total_bytes: state_bytes, ..Limits::default() };
+/// Follows the control servers for as long as the program runs. Changes of upstreams go to `exchange_tx`.
+pub async fn follow_control_servers(
+    control: ControlServers,
+    follower: ControlFollower,
+    exchange_tx: mpsc::UnboundedSender<Note>,
+) {
+    let ControlFollower { name, number, seed, max_snapshot_bytes, settings_tx, status, initial_upstreams } =
+        follower;
+    let limits = Limits { total_bytes: max_snapshot_bytes, ..Limits::default() };
     let mut following = Following::new(control.servers, &name, number);
     (following.seed, following.hold, following.limits) = (seed, control.hold, limits);
     let (deliver, delivered) = mpsc::unbounded_channel();
-    let consumer = Consumer { notes, settings, remembered, logged: None };
+    let applier = UpdateApplier { exchange_tx, settings_tx, initial_upstreams, last_logged_at: None };
     tokio::select! {
         () = follow(following, check_record, deliver, status) => {}
-        () = consumer.run(delivered) => {}
+        () = applier.run(delivered) => {}
     }
 }
 
-struct Consumer {
-    notes: mpsc::UnboundedSender<Note>,
-    settings: mpsc::UnboundedSender<SettingsUpdate>,
-    remembered: BTreeSet<String>,
-    logged: Option<Instant>,
+/// Applies updates one after the other, settings before upstreams. Its methods return `None` when the program ends.
+struct UpdateApplier {
+    exchange_tx: mpsc::UnboundedSender<Note>,
+    settings_tx: mpsc::UnboundedSender<SettingsUpdate>,
+    /// See [`ControlFollower::initial_upstreams`]; empty after the first snapshot.
+    initial_upstreams: BTreeSet<String>,
+    /// When a version was last logged at level info.
+    last_logged_at: Option<Instant>,
 }
 
-impl Consumer {
+impl UpdateApplier {
     async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<Delivered>) {
         while let Some(Delivered { update, in_force }) = delivered.recv().await {
             let (version, records) = (update.version, update.changes.len());
-            if self.put_in_force(update).await.is_none() {
+            if self.apply(update).await.is_none() {
                 return;
             }
-            self.log(version, records);
+            self.log_version(version, records);
             let _ended = in_force.send(());
         }
     }
 
-    /// None where the program ends.
-    async fn put_in_force(&mut self, mut update: Update) -> Option<()> {
-        self.put_settings_in_force(take_settings(&mut update)).await?;
-        let unlisted = self.unlisted(&update);
-        for names in unlisted.chunks(SLICE) {
-            let removed = UpstreamList { removed: names.to_vec(), ..UpstreamList::default() };
-            self.put_upstreams_in_force(removed, false).await?;
+    async fn apply(&mut self, mut update: Update) -> Option<()> {
+        self.apply_settings(take_settings(&mut update)).await?;
+        let removed_upstreams = self.initial_upstreams_not_in(&update);
+        for names in removed_upstreams.chunks(MAX_RECORDS_PER_STEP) {
+            let removal = UpstreamList { removed: names.to_vec(), ..UpstreamList::default() };
+            self.apply_upstreams(removal, false).await?;
         }
-        let is_whole = update.whole;
-        for slice in update.slices(SLICE) {
-            let completes = is_whole && !slice.more;
-            self.put_upstreams_in_force(upstreams_of(slice), completes).await?;
+        let is_snapshot = update.whole;
+        for slice in update.slices(MAX_RECORDS_PER_STEP) {
+            let completes = is_snapshot && !slice.more;
+            self.apply_upstreams(upstreams_of(slice), completes).await?;
         }
         Some(())
     }
 
-    async fn put_settings_in_force(&self, settings: SettingRecords) -> Option<()> {
+    async fn apply_settings(&self, settings: SettingRecords) -> Option<()> {
         let SettingRecords { classes_and_limits, tenants } = settings;
-        let slices = std::iter::once(classes_and_limits).chain(tenants.chunks(SLICE).map(<[Change]>::to_vec));
-        for changes in slices.filter(|changes| !changes.is_empty()) {
+        let tenant_steps = tenants.chunks(MAX_RECORDS_PER_STEP).map(<[Change]>::to_vec);
+        let steps = std::iter::once(classes_and_limits).chain(tenant_steps);
+        for changes in steps.filter(|changes| !changes.is_empty()) {
             let (applied, is_applied) = oneshot::channel();
-            self.settings.send(SettingsUpdate { changes, applied }).ok()?;
+            self.settings_tx.send(SettingsUpdate { changes, applied }).ok()?;
             is_applied.await.ok()?;
         }
         Some(())
     }
 
-    /// What is remembered from before the start and not part of the first whole state.
-    fn unlisted(&mut self, update: &Update) -> Vec<String> {
+    /// The upstreams known before the start that the first snapshot does not contain. Empty for every other update.
+    fn initial_upstreams_not_in(&mut self, update: &Update) -> Vec<String> {
         if !update.whole {
             return Vec::new();
         }
-        let mut unlisted = std::mem::take(&mut self.remembered);
+        let mut missing = std::mem::take(&mut self.initial_upstreams);
         for change in &update.changes {
-            unlisted.remove(change.key.name());
+            missing.remove(change.key.name());
         }
-        unlisted.into_iter().collect()
+        missing.into_iter().collect()
     }
 
-    async fn put_upstreams_in_force(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
+    /// `completes` says that a snapshot is applied completely with these upstreams.
+    async fn apply_upstreams(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
         let (applied, is_applied) = oneshot::channel();
-        self.notes.send(Note::Changed { upstreams, completes, applied }).ok()?;
+        self.exchange_tx.send(Note::Changed { upstreams, completes, applied }).ok()?;
         is_applied.await.ok()
     }
 
-    fn log(&mut self, version: Version, records: usize) {
-        let is_due = self.logged.is_none_or(|at| at.elapsed() >= LOG_EVERY);
+    fn log_version(&mut self, version: Version, records: usize) {
+        let is_due = self.last_logged_at.is_none_or(|at| at.elapsed() >= VERSION_LOG_INTERVAL);
         let level = if is_due { log::Level::Info } else { log::Level::Debug };
         log::log!(level, "control: version {version} is in force, {records} records changed");
         if is_due {
-            self.logged = Some(Instant::now());
+            self.last_logged_at = Some(Instant::now());
         }
     }
 }
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -6,84 +6,101 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use super::fault::Fault;
+use super::error::CallError;
 use crate::protocol::discovery::{DiscoverySide, NoList, UpstreamList, write_call};
-use crate::transport::stream::{Waiting, feed, waiting, write_all};
+use crate::transport::stream::{ReceiveState, read_into, receive_state, write_all};
 
-/// An agent that is back must be reached again at once, and a lost handshake is repeated only after a second.
-const CONNECT: Duration = Duration::from_millis(300);
-/// A kept connection that breaks sooner than this was closed before the call came.
-const CLOSED_BEFORE: Duration = Duration::from_millis(100);
+/// How long connecting may take. The kernel repeats a lost handshake only after a second; giving up sooner reaches a
+/// discovery agent that has restarted without that delay.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// When a kept connection breaks within this time after the call, discovery closed it before the call arrived.
+const CLOSED_BEFORE_CALL: Duration = Duration::from_millis(100);
 
-/// What a call asks for: the whole list, or what is newer than a version, for which discovery may wait so long.
-pub type Newer = Option<(u64, Duration)>;
+/// Asks for what has changed since a version, instead of the whole list.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ChangesSince {
+    pub version: u64,
+    /// How long discovery may wait until there are changes.
+    pub hold: Duration,
+}
 
-/// Where discovery is, and the connection that is kept for the next call.
-pub struct Line {
+/// The address of discovery, and the connection that is kept for the next call.
+pub struct DiscoveryConnection {
     pub address: SocketAddr,
     kept: Option<TcpStream>,
-    /// The longest list that is taken, in bytes as it is sent.
-    longest_list: usize,
-    /// Who is refused only after so long was not refused for others' sake.
-    row: Duration,
+    /// The longest list that is accepted, in bytes as sent.
+    max_list_bytes: usize,
+    /// How long a call may wait in discovery's queue; see [`super::CallTimeouts::queue`].
+    queue_margin: Duration,
 }
 
-impl Line {
-    pub fn new(address: SocketAddr, longest_list: usize, row: Duration) -> Self {
-        Line { address, kept: None, longest_list, row }
+impl DiscoveryConnection {
+    /// Creates the client's end without connecting.
+    pub fn new(address: SocketAddr, max_list_bytes: usize, queue_margin: Duration) -> Self {
+        DiscoveryConnection { address, kept: None, max_list_bytes, queue_margin }
     }
 
-    /// Gives up what is kept.
+    /// Closes the kept connection.
     pub fn close(&mut self) {
         self.kept = None;
     }
 
-    /// Takes the connection, so that a call that is given up closes it.
-    pub async fn exchange(&mut self, newer: Newer) -> Result<UpstreamList, Fault> {
-        let called = Instant::now();
-        let call = write_call(self.address, newer.map(|(from, hold)| (from, hold.as_millis())));
-        if let Some(kept) = self.kept.take().filter(|kept| waiting(kept) == Waiting::Nothing) {
-            match self.converse(kept, &call).await {
-                // Closed as the call came: that is nobody's refusal, and a call may always be made again.
-                Err(Fault::Broken(_)) if called.elapsed() < CLOSED_BEFORE => {}
-                done => return done,
+    /// Makes one call: for the changes since a version, or for the whole list where `since` is `None`. The connection
+    /// belongs to the call while it lasts, so that cancelling the call closes it.
+    pub async fn call(&mut self, since: Option<ChangesSince>) -> Result<UpstreamList, CallError> {
+        let called_at = Instant::now();
+        let request = write_call(self.address, since.map(|since| (since.version, since.hold.as_millis())));
+        let is_open = |kept: &TcpStream| receive_state(kept) == ReceiveState::Empty;
+        if let Some(kept) = self.kept.take().filter(is_open) {
+            match self.exchange(kept, &request).await {
+                // Discovery closed the connection just as the call was sent. This is not a rejection, and calls have
+                // no effect, so the call is repeated on a new connection.
+                Err(CallError::ConnectionBroken(_)) if called_at.elapsed() < CLOSED_BEFORE_CALL => {}
+                result => return result,
             }
         }
-        let stream = match timeout(CONNECT, TcpStream::connect(self.address)).await {
-            Ok(stream) => stream.map_err(|error| Fault::of_connect(&error))?,
-            Err(_) => return Err(Fault::Unconnected),
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await {
+            Ok(stream) => stream.map_err(|error| CallError::from_connect_error(&error))?,
+            Err(_) => return Err(CallError::ConnectTimedOut),
         };
-        self.converse(stream, &call).await
+        self.exchange(stream, &request).await
     }
 
-    async fn converse(&mut self, stream: TcpStream, call: &[u8]) -> Result<UpstreamList, Fault> {
-        let called = Instant::now();
-        write_all(&stream, call).await.map_err(|error| Fault::of_break("the call", &error))?;
-        let mut side = DiscoverySide::new(self.longest_list);
+    async fn exchange(&mut self, stream: TcpStream, request: &[u8]) -> Result<UpstreamList, CallError> {
+        let called_at = Instant::now();
+        let written = write_all(&stream, request).await;
+        written.map_err(|error| CallError::from_io_error("the call", &error))?;
+        let mut side = DiscoverySide::new(self.max_list_bytes);
         loop {
-            let read = feed(&stream, side.input()).await;
-            let count = read.map_err(|error| Fault::of_break("the answer", &error))?;
+            let read = read_into(&stream, side.input()).await;
+            let count = read.map_err(|error| CallError::from_io_error("the answer", &error))?;
             side.count_received(count);
-            if count == 0 && side.is_idle() {
-                return Err(Fault::Broken("the call is not answered".into()));
+            let is_closed = count == 0;
+            if is_closed && side.is_idle() {
+                return Err(CallError::ConnectionBroken("connection closed without an answer".into()));
             }
-            match side.next(count == 0).map_err(|why| self.fault(why, called))? {
+            match side.next(is_closed).map_err(|reason| self.answer_error(reason, called_at))? {
                 Some(listed) => {
                     self.kept = listed.keep.then_some(stream);
                     return Ok(listed.list);
                 }
-                None if count == 0 => return Err(Fault::Refused("the answer is cut short".into())),
+                None if is_closed => {
+                    return Err(CallError::Rejected("connection closed within the answer".into()));
+                }
                 None => {}
             }
         }
     }
 
-    fn fault(&self, why: NoList, called: Instant) -> Fault {
-        match why {
-            // Who has waited so long was not turned away for the others' sake: nobody is there.
-            NoList::Status(line) if called.elapsed() > self.row * 2 / 3 => Fault::Absent(line),
-            NoList::Status(why) | NoList::Faulty(why) => Fault::Refused(why),
-            NoList::TooLong { size, limit } => Fault::TooLong { size, limit },
+    fn answer_error(&self, reason: NoList, called_at: Instant) -> CallError {
+        match reason {
+            // Discovery rejects calls from a full queue sooner than this. An error status that comes so late is a
+            // proxy's, which did not reach discovery.
+            NoList::Status(line) if called_at.elapsed() > self.queue_margin * 2 / 3 => {
+                CallError::Unreachable(line)
+            }
+            NoList::Status(reason) | NoList::Faulty(reason) => CallError::Rejected(reason),
+            NoList::TooLong { size, limit } => CallError::ListTooLong { size, limit },
         }
     }
 }
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -1,42 +1,46 @@
-//! What calls to discovery tell of how current the list is.
+//! Up to when calls to discovery confirm that the list of upstreams is current.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::fault::Fault;
+use super::error::CallError;
 use crate::protocol::discovery::UpstreamList;
 
-/// One call without an answer may be its connection's fault. After so many in a row, each on a connection of its own,
-/// discovery is taken to answer nobody.
-const UNANSWERED: u32 = 2;
+/// After this many unanswered calls in a row, each on a connection of its own, discovery is taken to answer nobody. A
+/// single unanswered call may be the fault of its connection.
+const UNANSWERED_CALLS_THRESHOLD: u32 = 2;
 
-/// Judges calls one after the other.
+/// Derives the time up to which the list is confirmed from the calls, one after the other.
 #[derive(Default)]
-pub struct Confirmation {
+pub struct ListConfirmation {
     /// Calls in a row that got no answer.
-    unanswered: u32,
+    unanswered_calls: u32,
 }
 
-impl Confirmation {
-    /// The time up to which nothing has changed but what the list says, or nobody could be told of it; none where the
-    /// call shows no such time. `hold` is how long discovery was to wait for news.
-    pub fn judge(
+impl ListConfirmation {
+    /// Returns the time up to which the list is known to be complete, or up to which no balancer could have been told
+    /// of a change; `None` where the call shows no such time. `hold` is how long discovery was to wait for changes.
+    pub fn record_call(
         &mut self,
-        called: Instant,
+        called_at: Instant,
         hold: Duration,
-        outcome: &Result<UpstreamList, Fault>,
+        result: &Result<UpstreamList, CallError>,
     ) -> Option<Instant> {
-        let is_unanswered = matches!(outcome, Err(Fault::Silent | Fault::Unconnected));
-        self.unanswered = if is_unanswered { self.unanswered + 1 } else { 0 };
-        match outcome {
-            // It has waited for news until then.
-            Ok(list) if !list.whole && list.targets.is_empty() && called.elapsed() >= hold => {
-                Some(called + hold)
+        let is_unanswered = matches!(result, Err(CallError::TimedOut | CallError::ConnectTimedOut));
+        self.unanswered_calls = if is_unanswered { self.unanswered_calls + 1 } else { 0 };
+        match result {
+            // Discovery has waited for changes during the whole hold, and there were none.
+            Ok(list) if !list.whole && list.targets.is_empty() && called_at.elapsed() >= hold => {
+                Some(called_at + hold)
+            }
+            Ok(_) | Err(CallError::Unreachable(_)) => Some(called_at),
+            Err(CallError::TimedOut | CallError::ConnectTimedOut) => {
+                (self.unanswered_calls >= UNANSWERED_CALLS_THRESHOLD).then_some(called_at)
+            }
+            Err(CallError::ConnectionBroken(_) | CallError::Rejected(_) | CallError::ListTooLong { .. }) => {
+                None
             }
-            Ok(_) | Err(Fault::Absent(_)) => Some(called),
-            Err(Fault::Silent | Fault::Unconnected) => (self.unanswered >= UNANSWERED).then_some(called),
-            Err(Fault::Broken(_) | Fault::Refused(_) | Fault::TooLong { .. }) => None,
         }
     }
 }
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -1,15 +1,15 @@
-//! Follows discovery's list of upstreams: calls, watches and what becomes of them.
+//! Follows discovery's list of upstreams: fetches, watches and what they report to the exchange.
 
 mod call;
 mod confirmation;
-mod fault;
+mod error;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use call::{Line, Newer};
-use confirmation::Confirmation;
-use fault::{Fault, FaultLog};
+use call::{ChangesSince, DiscoveryConnection};
+use confirmation::ListConfirmation;
+use error::{CallError, ErrorLog};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -18,122 +18,134 @@
 use crate::protocol::discovery::UpstreamList;
 use crate::routing::Note;
 
+/// What the client of discovery is told to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ask {
-    Watch(bool),
-    Fetch,
-    /// Discovery is at another address from now on.
-    Move(SocketAddr),
+pub enum DiscoveryCommand {
+    /// Starts or stops watching the list.
+    SetWatch(bool),
+    /// Fetches the whole list once.
+    FetchList,
+    /// Calls discovery at another address from now on.
+    ChangeAddress(SocketAddr),
 }
 
-/// Well under the time after which a watch has lapsed.
-const BREATH: Duration = Duration::from_millis(50);
+/// The shortest time between the calls of a watch while answers bring no changes. It is well under the time after which
+/// discovery considers a watch lapsed.
+const MIN_WATCH_CALL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long calls may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// How long a watch's first call may wait for news: hardly, so that its answer tells that the watch stands.
-    pub first: Duration,
-    /// Its other calls. What a silent watch misses counts as told six seconds later, and some of these must be
-    /// left for the call in its place.
+pub struct CallTimeouts {
+    /// How long discovery may hold the first call of a watch. It is short, so that the answer soon shows that the
+    /// watch works.
+    pub first_hold: Duration,
+    /// How long discovery may hold the other calls of a watch. A change that a silent watch misses counts as announced
+    /// six seconds later, and part of these must be left for the call that replaces the silent one.
     pub hold: Duration,
-    /// How much later than that an answer may come before the watch is held to be silent.
-    pub late: Duration,
-    /// The same for a call that is no part of a watch yet: discovery works through all balancers' calls in turn,
-    /// and turns away who would wait for two seconds.
-    pub row: Duration,
+    /// How much longer than its hold a call of a watch may take before the watch counts as silent.
+    pub answer_margin: Duration,
+    /// How much longer than its hold a first call or a fetch may take. Discovery queues such calls of all balancers, and
+    /// rejects those that would wait for more than two seconds.
+    pub queue_margin: Duration,
 }
 
-impl Patience {
+impl CallTimeouts {
+    /// The timeouts in production.
     pub fn new() -> Self {
-        let [first, hold, late, row] = [100, 1000, 300, 2200].map(Duration::from_millis);
-        Patience { first, hold, late, row }
+        let [first_hold, hold, answer_margin, queue_margin] =
+            [100, 1000, 300, 2200].map(Duration::from_millis);
+        CallTimeouts { first_hold, hold, answer_margin, queue_margin }
     }
 }
 
-/// How long lists may be, and when one that was longer is asked for again.
+/// How long a list may be, and when discovery is called again after a longer one.
 pub struct ListLimit {
-    /// In bytes, as they are sent.
-    pub longest: usize,
+    /// In bytes, as sent.
+    pub max_bytes: usize,
     pub backoff: Backoff,
 }
 
-/// Asks discovery as the decisions want it asked. It is they who say when to try again after a failure,
-/// but for a list that is too long: it will hardly be shorter at once, and each try costs both ends much.
-pub async fn discover(
+/// Calls discovery as the decisions command, and reports lists and failures to the exchange.
+///
+/// The decisions choose when to retry after a failure, except after a list that is too long: it is unlikely to become
+/// shorter soon and costly for both ends, so it is asked for again with backoff here.
+pub async fn follow_discovery(
     address: SocketAddr,
     version: u64,
-    patience: Patience,
+    timeouts: CallTimeouts,
     limit: ListLimit,
     clock: Clock,
-    mut asks: mpsc::UnboundedReceiver<Ask>,
-    notes: mpsc::UnboundedSender<Note>,
+    mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    exchange_tx: mpsc::UnboundedSender<Note>,
 ) {
-    let mut caller = Caller {
-        line: Line::new(address, limit.longest, patience.row),
+    let mut client = DiscoveryClient {
+        connection: DiscoveryConnection::new(address, limit.max_bytes, timeouts.queue_margin),
         version: Some(version),
-        patience,
+        timeouts,
         backoff: limit.backoff,
         clock,
-        notes,
-        confirmation: Confirmation::default(),
-        fault_log: FaultLog::default(),
+        exchange_tx,
+        confirmation: ListConfirmation::default(),
+        error_log: ErrorLog::default(),
         calls: 0,
     };
-    let mut next = asks.recv().await;
-    while let Some(ask) = next {
+    let mut next = commands.recv().await;
+    while let Some(command) = next {
         next = tokio::select! {
-            () = caller.carry_out(ask) => asks.recv().await,
-            next = called_off(&mut asks) => next,
+            () = client.execute(command) => commands.recv().await,
+            next = next_interrupting(&mut commands) => next,
         };
     }
 }
 
-/// What ends the call at hand; other asks are answered by it.
-async fn called_off(asks: &mut mpsc::UnboundedReceiver<Ask>) -> Option<Ask> {
+/// Returns the next command that interrupts the one being executed. Other commands are dropped: the call under way
+/// answers them.
+async fn next_interrupting(
+    commands: &mut mpsc::UnboundedReceiver<DiscoveryCommand>,
+) -> Option<DiscoveryCommand> {
     loop {
-        let ask = asks.recv().await?;
-        if matches!(ask, Ask::Watch(false) | Ask::Move(_)) {
-            return Some(ask);
+        let command = commands.recv().await?;
+        if matches!(command, DiscoveryCommand::SetWatch(false) | DiscoveryCommand::ChangeAddress(_)) {
+            return Some(command);
         }
     }
 }
 
-struct Caller {
-    line: Line,
-    /// The newest that is known; none where the whole list is wanted.
+struct DiscoveryClient {
+    connection: DiscoveryConnection,
+    /// The newest known version of the list; `None` makes the next call of a watch ask for the whole list.
     version: Option<u64>,
-    patience: Patience,
+    timeouts: CallTimeouts,
     /// For lists that are too long.
     backoff: Backoff,
     clock: Clock,
-    notes: mpsc::UnboundedSender<Note>,
-    confirmation: Confirmation,
-    fault_log: FaultLog,
-    /// Calls made so far.
+    exchange_tx: mpsc::UnboundedSender<Note>,
+    confirmation: ListConfirmation,
+    error_log: ErrorLog,
+    /// Calls made so far; numbers them in the log.
     calls: u64,
 }
 
-/// What a call brought, and up to when the list is confirmed by it.
-struct Called {
-    outcome: Result<UpstreamList, Fault>,
-    current_at: Option<Instant>,
+/// The result of a call, and the time up to which it confirms the list.
+struct CallResult {
+    result: Result<UpstreamList, CallError>,
+    confirmed_at: Option<Instant>,
 }
 
-impl Caller {
-    async fn carry_out(&mut self, ask: Ask) {
-        match ask {
-            Ask::Watch(true) => self.watch().await,
-            Ask::Watch(false) => self.line.close(),
-            Ask::Fetch => {
-                let called = self.call_with_backoff(None).await;
-                self.tell(called);
+impl DiscoveryClient {
+    async fn execute(&mut self, command: DiscoveryCommand) {
+        match command {
+            DiscoveryCommand::SetWatch(true) => self.watch().await,
+            DiscoveryCommand::SetWatch(false) => self.connection.close(),
+            DiscoveryCommand::FetchList => {
+                let result = self.call_with_backoff(None).await;
+                self.report(result);
             }
-            // Asked at once, for the whole list: the versions of one address need not be those of another,
-            // and what the old one has not told by now it never will.
-            Ask::Move(address) => {
-                self.line.close();
-                (self.line.address, self.version) = (address, None);
+            // Calls at once, and asks for the whole list: the versions at the two addresses may be unrelated, and
+            // what the old address has not sent by now will never come.
+            DiscoveryCommand::ChangeAddress(address) => {
+                self.connection.close();
+                (self.connection.address, self.version) = (address, None);
                 self.backoff.reset();
                 self.watch().await;
             }
@@ -142,87 +154,101 @@
 
     /// Calls again after each answer, so that the watch never lapses, until a call fails.
     async fn watch(&mut self) {
-        let mut hold = self.patience.first;
+        let mut hold = self.timeouts.first_hold;
         loop {
-            let (start, known) = (Instant::now(), self.version);
-            let called = self.call_with_backoff(known.map(|from| (from, hold))).await;
-            if !self.tell(called) {
+            let (start, known_version) = (Instant::now(), self.version);
+            let since = known_version.map(|version| ChangesSince { version, hold });
+            let result = self.call_with_backoff(since).await;
+            if !self.report(result) {
                 return;
             }
-            let news = self.version != known;
-            // One that does not hold its answers would else be called without end.
-            if !news && start.elapsed() < BREATH {
-                sleep(BREATH).await;
+            let has_changes = self.version != known_version;
+            // Keeps a discovery that answers without holding the call from being called in a tight loop.
+            if !has_changes && start.elapsed() < MIN_WATCH_CALL_INTERVAL {
+                sleep(MIN_WATCH_CALL_INTERVAL).await;
             }
-            // What follows the whole list is the first call of a watch, and stands in the row with others' first calls.
-            hold = if known.is_some() { self.patience.hold } else { self.patience.first };
+            // The call after a whole list is the first of a watch, and is queued with the first calls of others.
+            hold = if known_version.is_some() { self.timeouts.hold } else { self.timeouts.first_hold };
         }
     }
 
-    /// False when the call brought nothing.
-    fn tell(&mut self, called: Called) -> bool {
-        let (note, is_list) = match called.outcome {
+    /// Reports a call to the exchange. Returns false when the call failed or the program ends.
+    fn report(&mut self, call: CallResult) -> bool {
+        let (note, is_list) = match call.result {
             Ok(list) => {
                 self.version = Some(list.version);
-                self.fault_log.reset();
+                self.error_log.reset();
                 (Note::Listed(list), true)
             }
-            Err(fault) => {
-                self.fault_log.tell(&fault);
-                (fault.note(), false)
+            Err(error) => {
+                self.error_log.log(&error);
+                (error.to_note(), false)
             }
         };
-        // After the list that it speaks of.
-        let current = called.current_at.map(|at| Note::ListCurrent { at: self.clock.at(at) });
-        let mut is_heard = self.notes.send(note).is_ok();
-        if let Some(current) = current {
-            is_heard &= self.notes.send(current).is_ok();
+        // Sent after the list that it confirms.
+        let confirmation = call.confirmed_at.map(|at| Note::ListCurrent { at: self.clock.time_of(at) });
+        let mut is_received = self.exchange_tx.send(note).is_ok();
+        if let Some(confirmation) = confirmation {
+            is_received &= self.exchange_tx.send(confirmation).is_ok();
         }
-        is_heard && is_list
+        is_received && is_list
     }
 
-    /// As `call`, but a list that is too long is asked for again and again, after growing waits.
-    async fn call_with_backoff(&mut self, mut newer: Newer) -> Called {
+    /// Like [`Self::call`], but repeats the call with backoff while the list is too long.
+    async fn call_with_backoff(&mut self, mut since: Option<ChangesSince>) -> CallResult {
         loop {
-            let called = self.call(newer).await;
-            match &called.outcome {
-                Err(fault @ Fault::TooLong { .. }) => self.fault_log.tell(fault),
+            let call = self.call(since).await;
+            match &call.result {
+                Err(error @ CallError::ListTooLong { .. }) => self.error_log.log(error),
                 Ok(_) => {
                     self.backoff.reset();
-                    return called;
+                    return call;
                 }
-                Err(_) => return called,
+                Err(_) => return call,
             }
-            sleep(self.backoff.next_wait()).await;
-            // As the first call of a watch: nothing stands by now.
-            newer = newer.map(|(version, _)| (version, self.patience.first));
+            sleep(self.backoff.next_delay()).await;
+            // The watch has lapsed by now, so this is the first call of another.
+            since = since.map(|since| ChangesSince { hold: self.timeouts.first_hold, ..since });
         }
     }
 
-    async fn call(&mut self, newer: Newer) -> Called {
+    async fn call(&mut self, since: Option<ChangesSince>) -> CallResult {
         self.calls += 1;
-        let (number, called) = (self.calls, Instant::now());
-        log::debug!("discovery is called: newer than {newer:?}, call {number} to {}", self.line.address);
-        let outcome = self.answer(newer).await;
-        let took = called.elapsed().as_millis();
-        match &outcome {
-            Ok(list) => log::debug!("discovery: call {number} brings list {} after {took} ms", list.version),
-            Err(fault) => log::debug!("discovery: call {number} fails after {took} ms: {fault:?}"),
+        let (number, called_at) = (self.calls, Instant::now());
+        match since {
+            Some(ChangesSince { version, hold }) => log::debug!(
+                "discovery: call {number} to {}: changes since version {version}, hold {hold:?}",
+                self.connection.address
+            ),
+            None => log::debug!("discovery: call {number} to {}: whole list", self.connection.address),
         }
-        let hold = newer.map(|(_, hold)| hold).unwrap_or_default();
-        let current_at = self.confirmation.judge(called, hold, &outcome);
-        Called { outcome, current_at }
+        let result = self.call_in_time(since).await;
+        let took = called_at.elapsed().as_millis();
+        match &result {
+            Ok(list) => {
+                log::debug!("discovery: call {number} received version {} after {took} ms", list.version);
+            }
+            Err(error) => log::debug!("discovery: call {number} failed after {took} ms: {error}"),
+        }
+        let hold = since.map(|since| since.hold).unwrap_or_default();
+        let confirmed_at = self.confirmation.record_call(called_at, hold, &result);
+        CallResult { result, confirmed_at }
     }
 
-    async fn answer(&mut self, newer: Newer) -> Result<UpstreamList, Fault> {
-        let hold = newer.map(|(_, hold)| hold).unwrap_or_default();
-        let late = if hold < self.patience.hold { self.patience.row } else { self.patience.late };
-        let list = timeout(hold + late, self.line.exchange(newer)).await.map_err(|_| Fault::Silent)??;
-        match newer {
-            // Of another discovery, or of one that has lost its versions: only a whole list tells what holds.
-            Some((from, _)) if list.version < from => {
+    async fn call_in_time(&mut self, since: Option<ChangesSince>) -> Result<UpstreamList, CallError> {
+        let hold = since.map(|since| since.hold).unwrap_or_default();
+        let margin =
+            if hold < self.timeouts.hold { self.timeouts.queue_margin } else { self.timeouts.answer_margin };
+        let call = timeout(hold + margin, self.connection.call(since)).await;
+        let list = call.map_err(|_| CallError::TimedOut)??;
+        match since {
+            // Another discovery server, or one that has lost its versions. Only its whole list can be trusted.
+            Some(ChangesSince { version, .. }) if list.version < version => {
                 self.version = None;
-                Err(Fault::Refused(format!("version {} is answered to one who has {from}", list.version)))
+                Err(CallError::Rejected(format!(
+                    "version {} received, older than the known version {version}",
+                    list.version
+                )))
             }
             _ => Ok(list),
         }
--- a/crates/pondlb-server/src/transport/listener.rs
+++ b/crates/pondlb-server/src/transport/listener.rs
@@ -1,3 +1,5 @@
+//! Accepts client connections.
+
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -5,42 +7,44 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::client::Front;
+use super::client::Frontend;
 use super::phase::Phase;
 
-/// How long to wait when no connection can be taken, against spinning while descriptors are short.
-const BREATH: Duration = Duration::from_millis(20);
+/// The pause before the next try when no connection can be accepted. It keeps the loop from spinning while file
+/// descriptors are short.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes connections until the program closes its doors.
-pub async fn listen(listener: TcpListener, front: Rc<Front>) {
-    let mut phase = front.phase.clone();
+/// Accepts client connections and serves each in a task of its own, until the program is [`Phase::Closing`].
+pub async fn accept_connections(listener: TcpListener, frontend: Rc<Frontend>) {
+    let mut phase = frontend.phase.clone();
     loop {
-        let connections = &front.connections;
-        if connections.is_full() {
-            if connections.is_over() {
+        let connections = &frontend.connections;
+        if connections.is_reserve_used_up() {
+            if connections.is_over_limit() {
                 connections.evict_one_idle();
             }
             tokio::select! {
-                _ = connections.changed.notified() => {}
-                _ = sleep(BREATH) => {}
+                _ = connections.slot_freed.notified() => {}
+                _ = sleep(ACCEPT_RETRY_DELAY) => {}
             }
             continue;
         }
-        let taken = tokio::select! {
+        let accepted = tokio::select! {
             biased;
-            taken = listener.accept() => taken,
+            accepted = listener.accept() => accepted,
             _ = phase.wait_for(|phase| *phase >= Phase::Closing) => return,
         };
-        match taken {
+        match accepted {
             Ok((stream, _)) => {
-                let place = connections.enter();
-                spawn_local(front.clone().serve(stream, place));
+                let slot = connections.register();
+                spawn_local(frontend.clone().serve(stream, slot));
             }
-            // Out of descriptors, or the client has gone again: neither is a reason to end or to spin.
-            Err(e) => {
-                log::warn!("a connection can't be taken: {e}");
+            // The process is out of file descriptors, or the client has already disconnected. The listener goes on
+            // after a pause in both cases.
+            Err(error) => {
+                log::warn!("cannot accept a client connection: {error}");
                 connections.evict_one_idle();
-                sleep(BREATH).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/pondlb-server/src/transport/memory.rs
+++ b/crates/pondlb-server/src/transport/memory.rs
@@ -1,25 +1,29 @@
+//! The limit on the memory that the program allocates.
+
 use std::alloc::System;
 
 use cap::Cap;
 
-/// Counts what all sides together hold: buffers, requests, answers, lists and whatever else there is.
+/// Counts all heap memory of the program: buffers, requests, answers, lists of upstreams and everything else.
 #[global_allocator]
-static HELD: Cap<System> = Cap::new(System, usize::MAX);
+static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// How much may be held; beyond all of it the program would be killed, with every request in it.
+/// How much heap memory the program may hold. Beyond it the system may kill the process, and every open request would
+/// be lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Memory {
-    pub most: usize,
+pub struct MemoryLimit {
+    pub max_bytes: usize,
 }
 
-impl Memory {
-    /// Too much for anything new: what is let in still grows by its attempts and answers.
-    pub fn is_short(&self) -> bool {
-        HELD.allocated() > self.most / 2
+impl MemoryLimit {
+    /// Whether more than half of the limit is allocated. New requests are rejected then, because those already
+    /// admitted still grow by their attempts and answers.
+    pub fn is_low(&self) -> bool {
+        ALLOCATOR.allocated() > self.max_bytes / 2
     }
 
-    /// Too much even for the answers of what was let in.
-    pub fn is_out(&self) -> bool {
-        HELD.allocated() > self.most
+    /// Whether the limit is exceeded, so that not even the answers to admitted requests can be read.
+    pub fn is_exhausted(&self) -> bool {
+        ALLOCATOR.allocated() > self.max_bytes
     }
 }
--- a/crates/pondlb-server/src/transport/mod.rs
+++ b/crates/pondlb-server/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and timers: thin drivers that read and write for the protocols' state machines.
+//! Sockets and timers: the I/O side of the protocol state machines in `crate::protocol`.
 
 mod attempt;
 mod backoff;
@@ -15,14 +15,14 @@
 #[cfg(test)]
 mod tests;
 
-pub use attempt::{Attempts, Probing};
+pub use attempt::{OutboundTransport, ProbeSettings};
 pub use backoff::Backoff;
-pub use client::Front;
-pub use clock::{Clock, span};
+pub use client::Frontend;
+pub use clock::{Clock, tenth_millis_to_duration};
 pub use connection_table::ConnectionTable;
-pub use control::{Control, Follower, SettingsUpdate, follow_control};
-pub use discovery::{Ask, ListLimit, Patience, discover};
-pub use listener::listen;
-pub use memory::Memory;
+pub use control::{ControlFollower, ControlServers, SettingsUpdate, follow_control_servers};
+pub use discovery::{CallTimeouts, DiscoveryCommand, ListLimit, follow_discovery};
+pub use listener::accept_connections;
+pub use memory::MemoryLimit;
 pub use phase::Phase;
-pub use pool::Pool;
+pub use pool::UpstreamPool;
--- a/crates/pondlb-server/src/transport/phase.rs
+++ b/crates/pondlb-server/src/transport/phase.rs
@@ -1,13 +1,14 @@
-//! The phases of the program, which the listener and the connections of clients watch.
+//! The phases of the program, which the listener and the client connections watch.
 
-/// From start to exit, in this order.
+/// A phase of the program's life. Every run goes through them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Listening, but with no upstream known.
+    /// Listens, but is not ready: no upstream is known, or discovery has not confirmed the list of upstreams yet.
     Starting,
+    /// Ready; requests are served.
     Serving,
-    /// Told to end: whoever still comes is served as ever, but health says that nobody should.
+    /// Told to shut down: requests are still served, but the health check reports not ready.
     Leaving,
-    /// No new clients; idle connections close, the others once what is owed on them is answered.
+    /// Accepts no new connections. Idle connections are closed, and the others once their requests are answered.
     Closing,
 }
--- a/crates/pondlb-server/src/transport/pool.rs
+++ b/crates/pondlb-server/src/transport/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to upstreams, kept for the next attempt.
+//! The pool of connections to upstreams.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,144 +11,167 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::stream::{Waiting, waiting};
+use super::stream::{ReceiveState, receive_state};
 
-/// The connections to upstreams: at most so many, and those that stand idle for the next attempt.
-pub struct Pool {
-    most: usize,
+/// Connections to upstreams. Bounds how many are open, and keeps idle ones for later attempts.
+pub struct UpstreamPool {
+    /// How many connections may be open at once, in use and idle.
+    max_open: usize,
     open: Cell<usize>,
-    idle: RefCell<HashMap<UpstreamId, VecDeque<Kept>>>,
-    /// Idle ones are retired after this, well before their upstream closes them: an attempt written to one
-    /// that is being closed may or may not have run.
-    retire: Cell<Duration>,
-    connect_within: Cell<Duration>,
+    idle: RefCell<HashMap<UpstreamId, VecDeque<IdleConnection>>>,
+    /// An idle connection is closed after this time, well before its upstream would close it: whether an attempt ran
+    /// can't be told when it was written to a connection that the upstream was just closing.
+    idle_timeout: Cell<Duration>,
+    /// How long opening a connection may take.
+    connect_timeout: Cell<Duration>,
 }
 
-pub struct Link {
+/// A connection to an upstream that is in use; dropping it closes it.
+pub struct PooledConnection {
     pub stream: TcpStream,
     address: SocketAddr,
-    _place: Place,
+    _slot: OpenSlot,
 }
 
-struct Kept {
-    link: Link,
+struct IdleConnection {
+    connection: PooledConnection,
     since: Instant,
 }
 
-/// Why there is no connection; nothing has been written in any case.
+/// Why there is no connection for an attempt. Nothing has been written to the upstream in any of these cases.
 #[derive(Debug)]
-pub enum NoLink {
-    Budget,
+pub enum ConnectError {
+    /// As many connections are open as are allowed, and none of them is idle.
+    PoolFull,
+    /// The connection was refused or could not be made.
     Failed,
+    /// The connection was not made in time.
     TimedOut,
 }
 
-/// How long a connection rests after an answer. An upstream that answers twice does so some milliseconds apart; what
-/// comes while it rests ends it.
-const REST: Duration = Duration::from_millis(10);
-const SWEEP: Duration = Duration::from_millis(250);
+impl fmt::Display for ConnectError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ConnectError::PoolFull => "the connection pool is full",
+            ConnectError::Failed => "the connection failed",
+            ConnectError::TimedOut => "the connection timed out",
+        })
+    }
+}
+
+/// How long a connection stays idle before it is reused. A faulty upstream that sends two answers sends the second some
+/// milliseconds after the first; within this time it is noticed as unexpected input, and the connection is closed.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
+/// How often idle connections are checked for their timeout and for unexpected input.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-impl Pool {
-    pub fn new(most: usize, retire: Duration, connect_within: Duration) -> Rc<Self> {
+impl UpstreamPool {
+    /// Creates an empty pool.
+    pub fn new(max_open: usize, idle_timeout: Duration, connect_timeout: Duration) -> Rc<Self> {
         let (open, idle) = (Cell::new(0), RefCell::default());
-        let (retire, connect_within) = (Cell::new(retire), Cell::new(connect_within));
-        Rc::new(Pool { most, open, idle, retire, connect_within })
+        let (idle_timeout, connect_timeout) = (Cell::new(idle_timeout), Cell::new(connect_timeout));
+        Rc::new(UpstreamPool { max_open, open, idle, idle_timeout, connect_timeout })
     }
 
-    /// For connections that are kept or made from now on, and for those that stand idle.
-    pub fn set_limits(&self, retire: Duration, connect_within: Duration) {
-        self.retire.set(retire);
-        self.connect_within.set(connect_within);
+    /// Changes the timeouts. They hold at once for idle connections, and for connections opened from now on.
+    pub fn set_timeouts(&self, idle_timeout: Duration, connect_timeout: Duration) {
+        self.idle_timeout.set(idle_timeout);
+        self.connect_timeout.set(connect_timeout);
     }
 
-    /// A connection that nothing is under way on: one kept, if it still stands, or a new one.
-    pub async fn take(
+    /// Returns a connection without an attempt on it: an idle one that is still usable, or a new one, which must be
+    /// established by `deadline`.
+    pub async fn acquire(
         self: &Rc<Self>,
         upstream: &UpstreamId,
         address: SocketAddr,
-        until: Instant,
-    ) -> Result<Link, NoLink> {
-        while let Some(kept) = self.take_kept(upstream) {
-            if kept.link.address == address
-                && kept.since.elapsed() < self.retire.get()
-                && waiting(&kept.link.stream) == Waiting::Nothing
+        deadline: Instant,
+    ) -> Result<PooledConnection, ConnectError> {
+        while let Some(idle) = self.pop_reusable(upstream) {
+            if idle.connection.address == address
+                && idle.since.elapsed() < self.idle_timeout.get()
+                && receive_state(&idle.connection.stream) == ReceiveState::Empty
             {
-                return Ok(kept.link);
+                return Ok(idle.connection);
             }
         }
-        if self.open.get() >= self.most {
+        if self.open.get() >= self.max_open {
             self.close_longest_idle();
         }
-        if self.open.get() >= self.most {
-            return Err(NoLink::Budget);
+        if self.open.get() >= self.max_open {
+            return Err(ConnectError::PoolFull);
         }
-        let place = Place::enter(self);
-        let until = until.min(Instant::now() + self.connect_within.get());
-        match timeout_at(until, TcpStream::connect(address)).await {
+        let slot = OpenSlot::reserve(self);
+        let deadline = deadline.min(Instant::now() + self.connect_timeout.get());
+        match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
                 let _unset = stream.set_nodelay(true);
-                Ok(Link { stream, address, _place: place })
+                Ok(PooledConnection { stream, address, _slot: slot })
             }
-            Ok(Err(_)) => Err(NoLink::Failed),
-            Err(_) => Err(NoLink::TimedOut),
+            Ok(Err(_)) => Err(ConnectError::Failed),
+            Err(_) => Err(ConnectError::TimedOut),
         }
     }
 
-    /// For the next attempt to the upstream.
-    pub fn keep(self: &Rc<Self>, upstream: UpstreamId, link: Link) {
-        let kept = Kept { link, since: Instant::now() };
-        self.idle.borrow_mut().entry(upstream).or_default().push_back(kept);
+    /// Returns a connection to the pool, for a later attempt to the same upstream.
+    pub fn release(self: &Rc<Self>, upstream: UpstreamId, connection: PooledConnection) {
+        let idle = IdleConnection { connection, since: Instant::now() };
+        self.idle.borrow_mut().entry(upstream).or_default().push_back(idle);
     }
 
+    /// Closes all idle connections to an upstream.
     pub fn close_idle(&self, upstream: &str) {
         let closed = self.idle.borrow_mut().remove(upstream);
         drop(closed);
     }
 
-    /// The one used last is taken first, so that the others fall idle long enough to be retired; but not so soon that
-    /// more of its last answer may still come and pass for the next.
-    fn take_kept(&self, upstream: &UpstreamId) -> Option<Kept> {
+    /// Removes and returns the most recently used idle connection, so that the others stay idle and reach their
+    /// timeout. Connections younger than [`MIN_IDLE_BEFORE_REUSE`] are passed over: more of the last answer may still
+    /// arrive on them and would be taken for the next answer.
+    fn pop_reusable(&self, upstream: &UpstreamId) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(upstream)?;
-        let rested = kept.iter().rposition(|kept| kept.since.elapsed() >= REST)?;
-        kept.remove(rested)
+        let of_upstream = idle.get_mut(upstream)?;
+        let reusable = of_upstream.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_BEFORE_REUSE)?;
+        of_upstream.remove(reusable)
     }
 
     fn close_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let longest = idle.values_mut().filter(|kept| !kept.is_empty()).min_by_key(|kept| kept[0].since);
-        let closed = longest.and_then(VecDeque::pop_front);
+        let non_empty = idle.values_mut().filter(|of_upstream| !of_upstream.is_empty());
+        let longest_idle = non_empty.min_by_key(|of_upstream| of_upstream[0].since);
+        let closed = longest_idle.and_then(VecDeque::pop_front);
         drop(idle);
         drop(closed);
     }
 
-    /// Closes in time what nobody takes.
-    pub async fn sweep(self: Rc<Self>) {
+    /// Closes idle connections before they time out, and those that are no longer usable. Runs for as long as the
+    /// program does.
+    pub async fn run_sweeper(self: Rc<Self>) {
         loop {
-            sleep(SWEEP).await;
+            sleep(SWEEP_INTERVAL).await;
             let mut idle = self.idle.borrow_mut();
-            for kept in idle.values_mut() {
-                kept.retain(|k| {
-                    k.since.elapsed() + SWEEP < self.retire.get()
-                        && waiting(&k.link.stream) == Waiting::Nothing
+            for of_upstream in idle.values_mut() {
+                of_upstream.retain(|idle| {
+                    idle.since.elapsed() + SWEEP_INTERVAL < self.idle_timeout.get()
+                        && receive_state(&idle.connection.stream) == ReceiveState::Empty
                 });
             }
-            idle.retain(|_, kept| !kept.is_empty());
+            idle.retain(|_, of_upstream| !of_upstream.is_empty());
         }
     }
 }
 
-/// A place in the budget, from before the connection is made until it is closed.
-struct Place(Rc<Pool>);
+/// Counts one connection as open, from before it is established until it is closed.
+struct OpenSlot(Rc<UpstreamPool>);
 
-impl Place {
-    fn enter(pool: &Rc<Pool>) -> Self {
+impl OpenSlot {
+    fn reserve(pool: &Rc<UpstreamPool>) -> Self {
         pool.open.set(pool.open.get() + 1);
-        Place(pool.clone())
+        OpenSlot(pool.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
--- a/crates/pondlb-server/src/transport/stream.rs
+++ b/crates/pondlb-server/src/transport/stream.rs
@@ -1,3 +1,5 @@
+//! Reading from and writing to TCP connections.
+
 use std::io;
 use std::mem::MaybeUninit;
 
@@ -7,58 +9,64 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Reads what has come, once something has; 0 when the other side has ended.
-pub async fn read(stream: &TcpStream, room: &mut [u8]) -> io::Result<usize> {
+/// Waits until data can be read and reads as much of it as fits into `buffer`. Returns the number of bytes read, 0 when
+/// the peer has closed its side.
+pub async fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        match stream.try_read(room) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+        match stream.try_read(buffer) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return result,
         }
     }
 }
 
-/// The same for the reader of a connection.
-pub async fn feed(stream: &TcpStream, reader: &mut MessageReader) -> io::Result<usize> {
-    let count = read(stream, reader.spare_capacity_mut()).await?;
+/// Like [`read_available`], but reads into the buffer of a message reader.
+pub async fn read_into(stream: &TcpStream, reader: &mut MessageReader) -> io::Result<usize> {
+    let count = read_available(stream, reader.spare_capacity_mut()).await?;
     reader.mark_filled(count);
     Ok(count)
 }
 
+/// Writes all of `bytes`.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
         match stream.try_write(bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(count) => bytes = &bytes[count..],
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Returns when the other side has ended or broken the connection, though nothing is read of it any more.
-pub async fn closed(stream: &TcpStream) {
-    // Of all interests this one alone waits for nothing but urgent bytes, which nobody sends, and the end.
+/// Returns when the peer has closed or reset the connection, even though nothing more is read from it.
+pub async fn wait_until_closed(stream: &TcpStream) {
+    // Unread input would wake a task that waits for `READABLE` at once. `PRIORITY` becomes ready only for out-of-band
+    // data, which no client sends, and when the connection is closed.
     while stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
         yield_now().await;
     }
 }
 
-/// What the kernel holds right now, asked past the runtime, which may not have heard of it yet.
+/// What the kernel holds for the reader of a connection.
 #[derive(PartialEq)]
-pub enum Waiting {
-    Nothing,
-    Bytes,
-    /// The other side has ended or broken the connection.
-    End,
+pub enum ReceiveState {
+    /// There is nothing to read, and the connection is open.
+    Empty,
+    /// There are bytes to read.
+    HasData,
+    /// The peer has closed or reset the connection.
+    Closed,
 }
 
-pub fn waiting(stream: &TcpStream) -> Waiting {
+/// Asks the kernel what can be read, without reading it. The runtime's own readiness may lag behind this.
+pub fn receive_state(stream: &TcpStream) -> ReceiveState {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]) {
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Waiting::Nothing,
-        Ok(1..) => Waiting::Bytes,
-        Ok(0) | Err(_) => Waiting::End,
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => ReceiveState::Empty,
+        Ok(1..) => ReceiveState::HasData,
+        Ok(0) | Err(_) => ReceiveState::Closed,
     }
 }
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery against a stand-in that says, for each call, what becomes of it.
+//! The discovery client against a fake discovery server that each test scripts, backoff, and when attempts are written.
 
 use std::rc::Rc;
 use std::sync::mpsc;
@@ -14,59 +14,61 @@
 use tokio::task::{LocalSet, spawn_blocking};
 use tokio::time::{Instant, advance, pause, sleep};
 
-use super::attempt::Attempts;
+use super::attempt::OutboundTransport;
 use super::backoff::Backoff;
 use super::clock::Clock;
-use super::discovery::{Ask, ListLimit, Patience, discover};
-use super::memory::Memory;
-use super::pool::Pool;
-use super::stream::{read, write_all};
+use super::discovery::{CallTimeouts, DiscoveryCommand, ListLimit, follow_discovery};
+use super::memory::MemoryLimit;
+use super::pool::UpstreamPool;
+use super::stream::{read_available, write_all};
 use crate::routing::{Carrier, Note, Order};
 
-const LONGEST_LIST: usize = 1 << 20;
+const MAX_LIST_BYTES: usize = 1 << 20;
 const MS: Duration = Duration::from_millis(1);
-/// In real time; a play on a clock that stands still takes milliseconds of it.
-const LONGEST_PLAY: Duration = Duration::from_secs(30);
-/// After so long a watch's first call counts as silent: its hold and what the row may take.
-const SILENT_AFTER: Duration = Duration::from_millis(50 + 200);
-/// So much later than the last a call is made where an answer brought nothing new.
-const PAUSE: Duration = Duration::from_millis(50);
+/// How long a script may take in real time. On a paused clock it takes milliseconds.
+const SCRIPT_TIMEOUT: Duration = Duration::from_secs(30);
+/// After this time the first call of a watch times out: its hold and the time allowed for discovery's queue.
+const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(50 + 200);
+/// How long a watch waits before the next call after an answer without changes.
+const WATCH_CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Discovery as a test plays it: it takes the calls, and is told what the caller makes of the answers.
-struct StandIn {
+/// A discovery server that a test scripts, with the client's commands and its reports to the exchange.
+struct FakeDiscovery {
     listener: TcpListener,
-    asks: UnboundedSender<Ask>,
-    notes: UnboundedReceiver<Note>,
+    commands: UnboundedSender<DiscoveryCommand>,
+    exchange_rx: UnboundedReceiver<Note>,
+    /// The paths called and what the client reported for each.
     trace: String,
 }
 
-impl StandIn {
-    /// The next call, on a connection of its own.
+impl FakeDiscovery {
+    /// Accepts the next connection and reads the call on it.
     async fn accept(&mut self) -> TcpStream {
         let (mut stream, _) = self.listener.accept().await.unwrap();
-        self.read(&mut stream).await;
+        self.read_call(&mut stream).await;
         stream
     }
 
-    async fn read(&mut self, stream: &mut TcpStream) {
+    /// Reads a call and adds its path to the trace.
+    async fn read_call(&mut self, stream: &mut TcpStream) {
         let mut call = [0; 256];
-        let count = read(stream, &mut call).await.unwrap();
+        let count = read_available(stream, &mut call).await.unwrap();
         let path = String::from_utf8_lossy(&call[..count]).split(' ').nth(1).unwrap().to_string();
         self.trace += &format!("{path}: ");
     }
 
-    /// The next note but for those on how current the list is.
+    /// The next note from the client, except those that confirm the list.
     async fn next_note(&mut self) -> Note {
         loop {
-            match self.notes.recv().await.unwrap() {
+            match self.exchange_rx.recv().await.unwrap() {
                 Note::ListCurrent { .. } => {}
                 note => return note,
             }
         }
     }
 
-    /// What comes of the call; one that came to nothing is asked for anew, as the decisions do.
-    async fn noted(&mut self) {
+    /// Adds the client's report on the call to the trace. After a failure it commands a new watch, as the decisions do.
+    async fn trace_report(&mut self) {
         let note = match self.next_note().await {
             Note::Listed(list) => format!("listed {}", list.version),
             Note::ListLost => "lost".into(),
@@ -76,91 +78,94 @@
         };
         self.trace += &format!("{note}\n");
         if !note.starts_with("listed") {
-            self.asks.send(Ask::Watch(true)).unwrap();
+            self.commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
         }
     }
 }
 
-/// In a time that stands still but for what the play lets pass with `advance`: a machine that is held up changes
-/// nothing.
-fn played(play: impl AsyncFnOnce(&mut StandIn)) -> String {
+/// Runs a script on a paused clock, which moves only by `advance`, so that a busy machine can't change the result.
+fn run_on_paused_clock(script: impl AsyncFnOnce(&mut FakeDiscovery)) -> String {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    let (ends, ended) = mpsc::channel::<()>();
+    let (end_watchdog, script_ended) = mpsc::channel::<()>();
     runtime.block_on(async {
         pause();
-        // The runtime lets time pass by itself whenever it is idle, but for as long as a blocking task runs.
-        let watchdog = spawn_blocking(move || ended.recv_timeout(LONGEST_PLAY));
+        // An idle runtime advances a paused clock by itself, except while a blocking task runs.
+        let watchdog = spawn_blocking(move || script_ended.recv_timeout(SCRIPT_TIMEOUT));
         let trace = tokio::select! {
             biased;
-            trace = plays(play) => trace,
-            _ = watchdog => panic!("the play waits for what does not come"),
+            trace = run_script(script) => trace,
+            _ = watchdog => panic!("the script waits for something that does not happen"),
         };
-        drop(ends);
+        drop(end_watchdog);
         trace
     })
 }
 
-fn played_in_real_time(play: impl AsyncFnOnce(&mut StandIn)) -> String {
-    Builder::new_current_thread().enable_all().build().unwrap().block_on(plays(play))
+fn run_in_real_time(script: impl AsyncFnOnce(&mut FakeDiscovery)) -> String {
+    Builder::new_current_thread().enable_all().build().unwrap().block_on(run_script(script))
 }
 
-async fn plays(play: impl AsyncFnOnce(&mut StandIn)) -> String {
+/// Runs a script against a client that knows version 7 and has been told to watch, and returns the trace.
+async fn run_script(script: impl AsyncFnOnce(&mut FakeDiscovery)) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (asks, asks_out) = unbounded_channel();
-    let (notes_in, notes) = unbounded_channel();
-    let [first, hold, late, row] = [50, 500, 100, 200].map(Duration::from_millis);
-    let patience = Patience { first, hold, late, row };
-    let limit = ListLimit { longest: LONGEST_LIST, backoff: Backoff::new(1) };
+    let (commands, commands_rx) = unbounded_channel();
+    let (exchange_tx, exchange_rx) = unbounded_channel();
+    let [first_hold, hold, answer_margin, queue_margin] = [50, 500, 100, 200].map(Duration::from_millis);
+    let timeouts = CallTimeouts { first_hold, hold, answer_margin, queue_margin };
+    let limit = ListLimit { max_bytes: MAX_LIST_BYTES, backoff: Backoff::new(1) };
     let (address, clock) = (listener.local_addr().unwrap(), Clock::start());
-    let asking = discover(address, 7, patience, limit, clock, asks_out, notes_in);
-    asks.send(Ask::Watch(true)).unwrap();
-    let mut stand_in = StandIn { listener, asks, notes, trace: String::new() };
+    let client = follow_discovery(address, 7, timeouts, limit, clock, commands_rx, exchange_tx);
+    commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
+    let mut discovery = FakeDiscovery { listener, commands, exchange_rx, trace: String::new() };
     tokio::select! {
-        () = asking => {}
-        () = play(&mut stand_in) => {}
+        () = client => {}
+        () = script(&mut discovery) => {}
     }
-    stand_in.trace
+    discovery.trace
 }
 
-fn list(version: u64, names: &[&str]) -> String {
+/// An answer with a whole list.
+fn list_answer(version: u64, names: &[&str]) -> String {
     let rest = r#""endpoint":"127.0.0.1:1","az":"a","model":"m","state":"active","capacity_hint":1"#;
     let targets: Vec<_> = names.iter().map(|uid| format!(r#"{{"uid":"{uid}",{rest}}}"#)).collect();
     let body = format!(r#"{{"rev":{version},"all":true,"targets":[{}]}}"#, targets.join(","));
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
+/// Resets a connection instead of closing it.
 fn reset(stream: TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// The danger is a change that is never told. Silence, what nobody answers and a refusal are told apart, and of what
-/// is no list nothing is taken.
+/// Guards against a change of the list that the balancer never learns of. The decisions react differently to a call
+/// that timed out, one that reached nobody and one that was rejected, so each must be reported as what it is, and
+/// nothing of an invalid list may be applied.
 #[test]
-fn silence_is_told_from_a_refusal_and_of_what_is_no_list_nothing_is_taken() {
+fn timeouts_unreached_calls_and_rejections_are_reported_as_such_and_invalid_lists_are_not_applied() {
     let status = |line: &str| format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n");
-    let trace = played(async |discovery| {
-        let _silent = discovery.accept().await;
-        advance(SILENT_AFTER - MS).await;
-        assert!(discovery.notes.try_recv().is_err(), "it may still answer");
-        // Timers go by whole milliseconds.
+    let trace = run_on_paused_clock(async |discovery| {
+        let _unanswered = discovery.accept().await;
+        advance(FIRST_CALL_TIMEOUT - MS).await;
+        assert!(discovery.exchange_rx.try_recv().is_err(), "the call has not timed out yet");
+        // Timers are rounded to whole milliseconds.
         advance(2 * MS).await;
-        discovery.noted().await;
-        let garbled = "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{".to_string();
-        let (twice, back) = (list(9, &["s1", "s1"]), list(3, &["s1"]));
-        let (moved, busy) = (status("302 Found"), status("503 Busy"));
-        for answer in [list(8, &["s1"]), twice, moved, busy, garbled, back.clone(), back] {
+        discovery.trace_report().await;
+        let malformed = "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{".to_string();
+        let (duplicate, older) = (list_answer(9, &["s1", "s1"]), list_answer(3, &["s1"]));
+        let (redirect, busy) = (status("302 Found"), status("503 Busy"));
+        for answer in [list_answer(8, &["s1"]), duplicate, redirect, busy, malformed, older.clone(), older] {
             let stream = discovery.accept().await;
             write_all(&stream, answer.as_bytes()).await.unwrap();
             drop(stream);
-            discovery.noted().await;
+            discovery.trace_report().await;
         }
         reset(discovery.accept().await);
-        discovery.noted().await;
-        // Who is turned away only after as long a wait as the row allows has found nobody there.
+        discovery.trace_report().await;
+        // A rejection after more than two thirds of the queue margin comes from a proxy that reached nobody.
         let stream = discovery.accept().await;
         advance(180 * MS).await;
         write_all(&stream, status("503 Down").as_bytes()).await.unwrap();
-        discovery.noted().await;
+        discovery.trace_report().await;
     });
     expect![[r#"
         /catalog/members?from=7&hold_ms=50: silent
@@ -177,30 +182,32 @@
     .assert_eq(&trace);
 }
 
-/// The danger is a call that counts as refused, and waits, because the connection kept for it had been closed.
+/// Guards against a call that is reported as failed, and retried late, only because discovery had closed the connection
+/// that was kept for it.
 #[test]
-fn a_kept_connection_that_discovery_has_closed_is_dialled_anew_at_once() {
-    let trace = played(async |discovery| {
-        // Closed before the next call leaves, and as it comes; a watch that has stood is another matter.
+fn a_call_on_a_kept_connection_that_discovery_closed_is_repeated_on_a_new_one_at_once() {
+    let trace = run_on_paused_clock(async |discovery| {
+        // The connection is closed before the next call is sent, and reset as the call arrives. A reset 200 ms after
+        // the call is a failure of the call.
         let mut stream = discovery.accept().await;
         for _ in 0..2 {
-            write_all(&stream, list(8, &["s1"]).as_bytes()).await.unwrap();
+            write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
             drop(stream);
-            discovery.noted().await;
-            advance(PAUSE + MS).await;
+            discovery.trace_report().await;
+            advance(WATCH_CALL_INTERVAL + MS).await;
             stream = discovery.accept().await;
         }
-        write_all(&stream, list(8, &["s1"]).as_bytes()).await.unwrap();
-        discovery.noted().await;
-        discovery.read(&mut stream).await;
+        write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_report().await;
+        discovery.read_call(&mut stream).await;
         reset(stream);
         stream = discovery.accept().await;
-        write_all(&stream, list(9, &["s1"]).as_bytes()).await.unwrap();
-        discovery.noted().await;
-        discovery.read(&mut stream).await;
+        write_all(&stream, list_answer(9, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_report().await;
+        discovery.read_call(&mut stream).await;
         advance(200 * MS).await;
         reset(stream);
-        discovery.noted().await;
+        discovery.trace_report().await;
     });
     expect![[r#"
         /catalog/members?from=7&hold_ms=50: listed 8
@@ -212,26 +219,27 @@
     .assert_eq(&trace);
 }
 
-/// The danger is a list of megabytes that is sent again and again for nothing.
+/// Guards against a list of megabytes that is sent over and over and never accepted.
 #[test]
-fn a_list_that_is_too_long_is_asked_for_again_after_growing_waits_and_the_decisions_hear_nothing() {
-    let too_long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n[", LONGEST_LIST + 1);
-    let trace = played_in_real_time(async |discovery| {
-        for least in [Duration::ZERO, Duration::from_millis(750), Duration::from_millis(1500)] {
+fn a_list_that_is_too_long_is_fetched_again_with_backoff_and_not_reported() {
+    let too_long = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n[", MAX_LIST_BYTES + 1);
+    let trace = run_in_real_time(async |discovery| {
+        for min_delay in [Duration::ZERO, Duration::from_millis(750), Duration::from_millis(1500)] {
             let since = Instant::now();
             let stream = discovery.accept().await;
-            assert!(since.elapsed() >= least, "{:?} is less than {least:?}", since.elapsed());
+            assert!(since.elapsed() >= min_delay, "{:?} is less than {min_delay:?}", since.elapsed());
             write_all(&stream, too_long.as_bytes()).await.unwrap();
-            assert!(discovery.notes.try_recv().is_err());
+            assert!(discovery.exchange_rx.try_recv().is_err());
         }
-        // Whoever tells it of another address does not wait for it.
+        // A change of the address does not wait for the backoff.
         let since = Instant::now();
         sleep(Duration::from_millis(50)).await;
-        discovery.asks.send(Ask::Move(discovery.listener.local_addr().unwrap())).unwrap();
+        let address = discovery.listener.local_addr().unwrap();
+        discovery.commands.send(DiscoveryCommand::ChangeAddress(address)).unwrap();
         let stream = discovery.accept().await;
         assert!(since.elapsed() < Duration::from_millis(1000), "{:?}", since.elapsed());
-        write_all(&stream, list(8, &["s1"]).as_bytes()).await.unwrap();
-        discovery.noted().await;
+        write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_report().await;
     });
     expect![[r#"
         /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members: listed 8
@@ -239,32 +247,33 @@
 }
 
 #[test]
-fn waits_double_up_to_a_minute_with_jitter_and_begin_anew_after_a_success() {
+fn backoff_doubles_up_to_a_minute_with_jitter_and_restarts_after_a_reset() {
     let mut backoff = Backoff::new(1);
-    let mut waits: Vec<u128> = (0..8).map(|_| backoff.next_wait().as_millis()).collect();
+    let mut delays: Vec<u128> = (0..8).map(|_| backoff.next_delay().as_millis()).collect();
     backoff.reset();
-    waits.push(backoff.next_wait().as_millis());
-    for (wait, span) in waits.iter().zip([1, 2, 4, 8, 16, 32, 60, 60, 1]) {
-        assert!((span * 750..=span * 1000).contains(wait), "{wait} of {span} s");
+    delays.push(backoff.next_delay().as_millis());
+    for (delay, seconds) in delays.iter().zip([1, 2, 4, 8, 16, 32, 60, 60, 1]) {
+        assert!((seconds * 750..=seconds * 1000).contains(delay), "{delay} ms of {seconds} s");
     }
-    assert_ne!(waits[0], Backoff::new(2).next_wait().as_millis());
+    assert_ne!(delays[0], Backoff::new(2).next_delay().as_millis());
 }
 
 const SECOND: TenthMillis = 10_000;
 
-/// Carries one attempt, which may not begin from `begin_by` on, to an upstream that resets the connection. Tells how the
-/// attempt ended and the first line that the upstream had read.
-async fn carried(begin_by: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
+/// Sends an attempt that may not be written from `begin_by` on to an upstream that resets the connection. Returns the
+/// outcome of the attempt and the first line that the upstream read.
+async fn send_attempt(begin_by: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = upstream.local_addr().unwrap();
     let clock = Clock::start();
-    let (notes, mut noted) = unbounded_channel();
-    let (asks, _asks) = unbounded_channel();
-    let limit = Duration::from_secs(60);
-    let (pool, memory) = (Pool::new(4, limit, limit), Memory { most: usize::MAX });
-    let mut attempts = Attempts { pool, clock, memory, notes, asks, probing: None };
+    let (exchange_tx, mut exchange_rx) = unbounded_channel();
+    let (discovery_tx, _discovery_rx) = unbounded_channel();
+    let timeout = Duration::from_secs(60);
+    let pool = UpstreamPool::new(4, timeout, timeout);
+    let memory = MemoryLimit { max_bytes: usize::MAX };
+    let mut transport = OutboundTransport { pool, clock, memory, exchange_tx, discovery_tx, probe: None };
     let head = Head { start_line: "POST / HTTP/1.1".into(), fields: Vec::new() };
-    let _task = attempts.send(Order {
+    let _task = transport.send(Order {
         id: ("a1".into(), 1),
         upstream: "s1".into(),
         address,
@@ -274,21 +283,22 @@
     });
     let (stream, _) = upstream.accept().await.unwrap();
     let mut bytes = [0; 256];
-    // Without an attempt on it the connection ends by itself.
-    let count = read(&stream, &mut bytes).await.unwrap();
+    // The connection is closed without input if the attempt is not written.
+    let count = read_available(&stream, &mut bytes).await.unwrap();
     reset(stream);
-    let Some(Note::Ended { end, .. }) = noted.recv().await else { panic!("an attempt ends") };
+    let Some(Note::Ended { end, .. }) = exchange_rx.recv().await else { panic!("the attempt does not end") };
     let text = String::from_utf8_lossy(&bytes[..count]);
     (end.outcome, text.lines().next().unwrap_or_default().into())
 }
 
-/// The danger is a second run of a keyed request: its upstreams may have forgotten the key when the connection comes up.
+/// Guards against running a keyed request twice: when the connection is established late, the upstreams may have
+/// forgotten the key.
 #[test]
-fn an_attempt_whose_connection_comes_up_too_late_to_begin_is_not_written() {
+fn an_attempt_whose_connection_is_established_after_begin_by_is_not_written() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        assert_eq!(carried(Clock::now).await, (Outcome::Moot, String::new()));
-        let in_time = carried(|clock| clock.now() + 20 * SECOND).await;
+        assert_eq!(send_attempt(Clock::now).await, (Outcome::Moot, String::new()));
+        let in_time = send_attempt(|clock| clock.now() + 20 * SECOND).await;
         assert_eq!(in_time, (Outcome::Reset, "POST / HTTP/1.1".into()));
     });
 }
