--- a/crates/pondlb-server/src/program/line.rs
+++ b/crates/pondlb-server/src/program/command_line.rs
@@ -1,36 +1,38 @@
-//! The command line, and what it knows of the configuration's keys.
+//! The command line, and the explanations of the configuration keys that it prints.
 
 #[cfg(test)]
 mod tests;
 
 use clap::{Parser, Subcommand};
 
+/// The arguments of the program.
 #[derive(Parser)]
-#[command(version, about = "The pondlb load balancer. Without a command it serves.")]
-pub struct Line {
+#[command(version, about = "The pondlb load balancer. Serves if no command is given.")]
+pub struct CommandLine {
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
+/// What the program is to do. The comments on its variants and fields are the help texts.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serves, as the file says that RELAY_CONFIG names
+    /// Serves with the configuration file that RELAY_CONFIG names
     Serve,
-    /// Reads a configuration and says all that is wrong with it; serves nothing
+    /// Checks a configuration file and prints every fault in it, without serving
     Check {
-        /// In place of the file that RELAY_CONFIG names
+        /// The file to check instead of the one that RELAY_CONFIG names
         file: Option<String>,
     },
-    /// Says what a key of the configuration means; lists them all without one
+    /// Prints what a configuration key means, or lists all keys if none is given
     Explain { key: Option<String> },
 }
 
-/// The one place where the keys are told to people: what is printed can't differ from it.
-const PAGE: &str = include_str!("../../../../docs/configuration.md");
+/// The page that documents the keys. `explain` prints its texts, so that the two can't differ.
+const CONFIGURATION_PAGE: &str = include_str!("../../../../docs/configuration.md");
 
-/// Each key that the page has, with what it says of it.
+/// Each key on the configuration page, as a path, with its meaning and its default.
 pub fn keys() -> Vec<(String, String)> {
-    let rows = PAGE.lines().filter(|row| row.starts_with("| `"));
+    let rows = CONFIGURATION_PAGE.lines().filter(|row| row.starts_with("| `"));
     rows.flat_map(|row| {
         let cells: Vec<&str> = row.trim_matches('|').split(" | ").map(str::trim).collect();
         let (names, rest) = cells.split_first().unwrap_or((&"", &[]));
@@ -40,8 +42,8 @@
         };
         let mut group = "";
         let names: Vec<&str> = names.split('`').skip(1).step_by(2).collect();
-        let named = names.into_iter().filter_map(|name| {
-            // A group stands before its keys, by itself or with the first of them.
+        let keys_of_row = names.into_iter().filter_map(|name| {
+            // A row names the group of its keys first, either by itself or as a part of its first key.
             if name.ends_with("[]") {
                 group = name;
                 return None;
@@ -53,7 +55,7 @@
             let name = if group.is_empty() { name.to_string() } else { format!("{group}.{name}") };
             Some((name, meaning.clone()))
         });
-        named.collect::<Vec<_>>()
+        keys_of_row.collect::<Vec<_>>()
     })
     .collect()
 }
--- a/crates/pondlb-server/src/program/line/tests.rs
+++ b/crates/pondlb-server/src/program/command_line/tests.rs
@@ -1,11 +1,11 @@
-//! The keys that `explain` knows are those of the configuration's page.
+//! The keys that `explain` lists, read from the configuration page.
 
 use expect_test::expect;
 
 use super::*;
 
 #[test]
-fn every_key_of_the_page_is_known_by_its_path() {
+fn every_key_of_the_configuration_page_is_listed_with_its_path() {
     let names: Vec<String> = keys().into_iter().map(|(name, _)| name).collect();
     expect![[r#"
         name
--- /dev/null
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -0,0 +1,76 @@
+//! The settings that can change while the program serves, and the parts of the program that use them.
+
+use std::rc::Rc;
+
+use pondlb::TenthMillis;
+use pondlb_terms::{Applied, Fault, Links, SettingChange, Settings};
+
+use super::service::connect_timeout;
+use crate::routing::{Carrier, Exchange};
+use crate::transport::{Frontend, UpstreamPool, tenth_millis_to_duration};
+
+/// The current settings, with the parts that a change of them is applied to.
+pub struct LiveSettings {
+    pub settings: Settings,
+    pub frontend: Rc<Frontend>,
+    pub pool: Rc<UpstreamPool>,
+}
+
+impl LiveSettings {
+    /// Applies changes by records: all of them or none. Open requests keep the settings with which they arrived.
+    pub fn apply_records<C: Carrier>(
+        &mut self,
+        now: TenthMillis,
+        changes: &[SettingChange],
+        exchange: &mut Exchange<C>,
+    ) -> Result<(), Fault> {
+        let applied = self.settings.change(changes)?;
+        self.apply(now, applied, exchange);
+        Ok(())
+    }
+
+    /// Applies the settings of a file that was read again: all of them or none. Logs a warning for each changed key
+    /// that takes effect only after a restart.
+    pub fn apply_file<C: Carrier>(
+        &mut self,
+        now: TenthMillis,
+        file: &Settings,
+        exchange: &mut Exchange<C>,
+    ) -> Result<(), Fault> {
+        let difference = self.settings.difference(file);
+        for key in &difference.restart {
+            log::warn!("configuration: settings.{key}: the change takes a restart");
+        }
+        let applied = self.settings.apply(difference)?;
+        self.apply(now, applied, exchange);
+        Ok(())
+    }
+
+    /// The current limits of connections.
+    pub fn links(&self) -> Links {
+        self.settings.links()
+    }
+
+    fn apply<C: Carrier>(&self, now: TenthMillis, applied: Applied, exchange: &mut Exchange<C>) {
+        if applied.changed == 0 {
+            return;
+        }
+        exchange.change(now, &applied.terms);
+        self.frontend.change_classes(applied.classes);
+        let max_retry_after = self.settings.limits().max_retry_after;
+        self.frontend.overload_retry_after.set(overload_retry_after(max_retry_after));
+        let links = self.links();
+        self.frontend.connections.set_max_busy(links.most_open as usize);
+        self.pool.set_timeouts(
+            tenth_millis_to_duration(links.idle / 2),
+            tenth_millis_to_duration(connect_timeout(&links)),
+        );
+        log::info!("configuration: {} settings put in force", applied.changed);
+    }
+}
+
+/// The wait advised to a client whose request is rejected for overload before it is read: half of the longest wait
+/// that may be advised.
+pub fn overload_retry_after(max_retry_after: Option<TenthMillis>) -> Option<TenthMillis> {
+    max_retry_after.map(|max_retry_after| max_retry_after / 2)
+}
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -1,3 +1,6 @@
+//! The main loop: starts the parts of the program, and hands what they report to the exchange until the shutdown is
+//! complete.
+
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -14,8 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use super::configuration::{Configuration, cool_down};
-use super::setup::{Given, Setup};
+use super::live_settings::{LiveSettings, overload_retry_after};
+use super::setup::{Setup, StartupSettings};
 use crate::protocol::client::Classes;
 use crate::protocol::control::setting_change;
 use crate::protocol::discovery::UpstreamList;
@@ -26,370 +29,414 @@
     follow_discovery, tenth_millis_to_duration,
 };
 
-/// The steps of an orderly end, each counted from the signal. A planned restart leaves as long as the longest
-/// deadline, 3 s at most, and 0.7 s more until it kills.
+/// When the steps of a graceful shutdown happen, each counted from the signal.
+///
+/// A planned restart kills the process some time after the signal: the longest deadline of a request, 3 s at most, and
+/// another 0.7 s.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShutdownTimeline {
-    /// Until then all goes on: clients keep what connections they have for as long as these stay open, and
-    /// the other balancers may just be restarting too.
-    leaving: Duration,
-    /// A request may have more time left than the program has: its answer comes by then, or the kill would lose
-    /// it.
-    answered: TenthMillis,
-    /// However slow a client is with its request, the program is gone before it is killed.
-    at_most: Duration,
+    /// When the phase changes from [`Phase::Leaving`] to [`Phase::Closing`]. Until then everything is served: clients
+    /// use their connections for as long as these stay open, and the other balancers may be restarting too.
+    closing_after: Duration,
+    /// When all requests must be answered. A request may have more time left than the process, and its answer would be
+    /// lost with the kill.
+    answers_due_after: TenthMillis,
+    /// When the process exits even if a client is still sending a request.
+    exit_after: Duration,
 }
 
 impl ShutdownTimeline {
+    /// `deadline` is the longest deadline of a request; `None` if a class has none.
     pub(super) fn new(deadline: Option<TenthMillis>) -> Self {
-        let deadline = deadline.map(|deadline| deadline.min(LONGEST_DEADLINE));
-        let killed = deadline.unwrap_or(LONGEST_DEADLINE) + KILL_AFTER;
-        let answered = killed - UNANSWERED;
-        // What comes last still has time for a quick answer.
-        let stays = deadline.map_or(0, |_| answered.saturating_sub(LAST_CHANCE));
-        let leaving = tenth_millis_to_duration(stays.max(LEAVING.min(answered)));
-        ShutdownTimeline { leaving, answered, at_most: tenth_millis_to_duration(killed - MARGIN) }
+        let deadline = deadline.map(|deadline| deadline.min(MAX_RESTART_DEADLINE));
+        let killed_after = deadline.unwrap_or(MAX_RESTART_DEADLINE) + KILL_DELAY;
+        let answers_due_after = killed_after - ANSWERS_DUE_BEFORE_KILL;
+        // Leaves the last requests enough time for a quick answer.
+        let serve_until =
+            deadline.map_or(0, |_| answers_due_after.saturating_sub(MIN_TIME_FOR_LAST_REQUESTS));
+        let closing_after = serve_until.max(MIN_LEAVING_TIME.min(answers_due_after));
+        ShutdownTimeline {
+            closing_after: tenth_millis_to_duration(closing_after),
+            answers_due_after,
+            exit_after: tenth_millis_to_duration(killed_after - EXIT_BEFORE_KILL),
+        }
     }
 }
 
-const LONGEST_DEADLINE: TenthMillis = 30_000;
-const KILL_AFTER: TenthMillis = 7000;
-/// So much before the kill.
-const UNANSWERED: TenthMillis = 4000;
-const MARGIN: TenthMillis = 2000;
-const LAST_CHANCE: TenthMillis = 4000;
-/// Clients that are new to it come for up to 0.4 s.
-const LEAVING: TenthMillis = 6000;
-/// So much longer than the settings say is each limit where it is kept on sockets.
-const ON_SOCKETS: TenthMillis = 500;
-/// A list that was made for a start may be as old as the time in which a dead process is replaced.
-const RESTART_TIME: TenthMillis = 15_000;
-/// For a late loop and the way to the client.
-const SLACK: TenthMillis = 50;
-const BATCH: usize = 256;
-/// So long at most a new process is not ready since discovery has not confirmed its list.
-const UNCONFIRMED_START: Duration = Duration::from_secs(5);
-/// How often the counters are logged where they move.
-const METRICS_EVERY: Duration = Duration::from_secs(10);
-/// A whole state from control servers may take this part of the memory, beside what is served.
-const STATE_SHARE: usize = 4;
+/// The longest deadline that a planned restart waits for.
+const MAX_RESTART_DEADLINE: TenthMillis = 30_000;
+/// How long after the deadline a planned restart kills the process.
+const KILL_DELAY: TenthMillis = 7000;
+/// How long before the kill all requests must be answered.
+const ANSWERS_DUE_BEFORE_KILL: TenthMillis = 4000;
+/// How long before the kill the process exits.
+const EXIT_BEFORE_KILL: TenthMillis = 2000;
+/// How much time a request that arrives last has until its answer is due.
+const MIN_TIME_FOR_LAST_REQUESTS: TenthMillis = 4000;
+/// How long connections are accepted after the signal. Clients open new ones for up to 0.4 s after it.
+const MIN_LEAVING_TIME: TenthMillis = 6000;
+/// Limits on connections are enforced this much later than the settings say.
+const CONNECTION_LIMIT_MARGIN: TenthMillis = 500;
+/// The time in which a dead process is replaced. A list that was made for a start may be that old.
+const PROCESS_RESTART_TIME: TenthMillis = 15_000;
+/// How long before its deadline a request must be answered, for delays of the main loop and of the way to the client.
+const ANSWER_SLACK: TenthMillis = 50;
+/// How many notes the exchange handles in one step.
+const MAX_NOTES_PER_STEP: usize = 256;
+/// After this time a new process reports that it is ready even if discovery has not confirmed its list.
+const MAX_UNCONFIRMED_START: Duration = Duration::from_secs(5);
+/// How often the counters are logged while they change.
+const METRICS_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// A snapshot from control servers may take the memory limit divided by this, beside the memory for requests.
+const SNAPSHOT_MEMORY_DIVISOR: usize = 4;
 
-/// The running program: its phase, and the loop that hands what happens to the exchange.
+/// The running program: its phase, and the loop that hands all events to the exchange.
 pub struct Service {
     phase: watch::Sender<Phase>,
     clock: Clock,
     exchange: Exchange<OutboundTransport>,
-    notes: mpsc::UnboundedReceiver<Note>,
-    /// From control servers; closed where none are followed.
-    settings: mpsc::UnboundedReceiver<SettingsUpdate>,
-    /// Records from control servers that the settings as a whole do not allow so far.
-    refused: Vec<Change>,
+    exchange_rx: mpsc::UnboundedReceiver<Note>,
+    /// Changes of settings from control servers; closed if none are followed.
+    settings_rx: mpsc::UnboundedReceiver<SettingsUpdate>,
+    /// Records from control servers that are not valid together with the current settings.
+    refused_changes: Vec<Change>,
     control_status: Rc<Status>,
     connections: Rc<ConnectionTable>,
-    configuration: Configuration,
+    live_settings: LiveSettings,
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
-    /// As the configuration last read says.
-    given: Given,
-    asks: mpsc::UnboundedSender<DiscoveryCommand>,
-    started: Instant,
-    told_to_end: Option<Instant>,
+    /// What the program was started with; the address of discovery is the current one.
+    startup_settings: StartupSettings,
+    discovery_tx: mpsc::UnboundedSender<DiscoveryCommand>,
+    started_at: Instant,
+    /// When the signal to shut down arrived.
+    shutdown_began_at: Option<Instant>,
     shutdown: ShutdownTimeline,
-    /// The counters as they were logged last, and when.
-    logged: (Metrics, Instant),
+    last_metrics: LoggedMetrics,
+}
+
+/// The counters as they were logged last, and when that was checked.
+struct LoggedMetrics {
+    metrics: Metrics,
+    at: Instant,
 }
 
 impl Service {
+    /// Starts all parts of the program.
+    ///
+    /// # Errors
+    /// If signals can't be handled or the address can't be listened on.
     pub fn start(setup: Setup) -> io::Result<Service> {
         let (terminate, interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
         let hangup = signal(SignalKind::hangup())?;
-        let given = setup.given();
+        let startup_settings = setup.startup_settings();
         let listener = bind(setup.listen)
-            .map_err(|e| io::Error::new(e.kind(), format!("listen: {}: {e}", setup.listen)))?;
+            .map_err(|error| io::Error::new(error.kind(), format!("listen: {}: {error}", setup.listen)))?;
         let address = listener.local_addr()?;
-        let (mut terms, links) = (setup.deployment.terms, setup.deployment.links);
-        let own_number = terms.own_index;
-        // Control servers bring the list unasked; discovery does so on the simulator's wire only.
-        terms.list_source = match terms.list_source {
+        let (mut balancer_config, links) = (setup.deployment.terms, setup.deployment.links);
+        let own_index = balancer_config.own_index;
+        // Control servers push the list. Discovery pushes it only in the simulator.
+        balancer_config.list_source = match balancer_config.list_source {
             _ if setup.control.is_some() => ListSource::Pushed,
             ListSource::Pushed => ListSource::LocalAgent,
-            asked => asked,
+            list_source => list_source,
         };
         let clock = Clock::start();
-        let (phase, phase_seen) = watch::channel(Phase::Starting);
-        let (notes_in, notes) = mpsc::unbounded_channel();
-        let (asks_in, asks) = mpsc::unbounded_channel();
-        let (settings_in, settings) = mpsc::unbounded_channel();
+        let (phase, phase_rx) = watch::channel(Phase::Starting);
+        let (exchange_tx, exchange_rx) = mpsc::unbounded_channel();
+        let (discovery_tx, discovery_rx) = mpsc::unbounded_channel();
+        let (settings_tx, settings_rx) = mpsc::unbounded_channel();
         let pool = UpstreamPool::new(
-            setup.budget.upstreams,
+            setup.budget.upstream_connections,
             tenth_millis_to_duration(links.idle / 2),
-            tenth_millis_to_duration(connect_within(&links)),
+            tenth_millis_to_duration(connect_timeout(&links)),
         );
         spawn_local(pool.clone().run_sweeper());
         let memory = setup.budget.memory;
-        let connections = ConnectionTable::new(setup.budget.clients, links.most_open as usize, memory);
-        let front = Rc::new(Frontend {
+        let connections =
+            ConnectionTable::new(setup.budget.client_connections, links.most_open as usize, memory);
+        let frontend = Rc::new(Frontend {
             connections: connections.clone(),
-            classes: RefCell::new(numbered(&setup.deployment.names.classes)),
-            overload_retry_after: Cell::new(cool_down(terms.max_retry_after)),
-            exchange_tx: notes_in.clone(),
-            phase: phase_seen,
+            classes: RefCell::new(class_numbers(&setup.deployment.names.classes)),
+            overload_retry_after: Cell::new(overload_retry_after(balancer_config.max_retry_after)),
+            exchange_tx: exchange_tx.clone(),
+            phase: phase_rx,
         });
-        spawn_local(accept_connections(listener, front.clone()));
-        let configuration = Configuration { settings: setup.settings, front, pool: pool.clone() };
+        spawn_local(accept_connections(listener, frontend.clone()));
+        let live_settings = LiveSettings { settings: setup.settings, frontend, pool: pool.clone() };
         let directory = Directory::new(setup.deployment.names, clock.unix_epoch());
-        let balancer = Balancer::new(terms, setup.seed);
+        let balancer = Balancer::new(balancer_config, setup.seed);
         if let Some(discovery) = setup.discovery {
-            let limit = ListLimit { max_bytes: setup.budget.longest_list, backoff: Backoff::new(setup.seed) };
+            let limit =
+                ListLimit { max_bytes: setup.budget.max_list_bytes, backoff: Backoff::new(setup.seed) };
             spawn_local(follow_discovery(
                 discovery,
-                setup.known.version,
+                setup.initial_list.version,
                 CallTimeouts::new(),
                 limit,
                 clock,
-                asks,
-                notes_in.clone(),
+                discovery_rx,
+                exchange_tx.clone(),
             ));
         }
         let control_status = Rc::new(Status::default());
         if let Some(control) = setup.control.clone() {
+            let targets = &setup.initial_list.targets;
+            let initial_upstreams = targets.iter().map(|target| target.upstream.clone()).collect();
             let follower = ControlFollower {
                 name: setup.name.clone(),
-                number: own_number.into(),
+                number: own_index.into(),
                 seed: setup.seed,
-                max_snapshot_bytes: memory.max_bytes / STATE_SHARE,
-                settings_tx: settings_in,
+                max_snapshot_bytes: memory.max_bytes / SNAPSHOT_MEMORY_DIVISOR,
+                settings_tx,
                 status: control_status.clone(),
-                initial_upstreams: setup.known.targets.iter().map(|target| target.upstream.clone()).collect(),
+                initial_upstreams,
             };
-            spawn_local(follow_control_servers(control, follower, notes_in.clone()));
+            spawn_local(follow_control_servers(control, follower, exchange_tx.clone()));
         }
-        let carrier = OutboundTransport {
+        let transport = OutboundTransport {
             pool,
             clock,
             memory,
-            exchange_tx: notes_in,
-            discovery_tx: asks_in.clone(),
-            probe: setup.probing,
+            exchange_tx,
+            discovery_tx: discovery_tx.clone(),
+            probe: setup.probe,
         };
-        let mut exchange = Exchange::new(balancer, directory, carrier, SLACK);
+        let mut exchange = Exchange::new(balancer, directory, transport, ANSWER_SLACK);
         if setup.control.is_some() {
             exchange.await_state();
         }
-        let current_at = setup.control.is_none().then(|| known_at(&setup.known, clock.now()));
-        exchange.remember(clock.now(), setup.known, current_at);
+        let confirmed_at =
+            setup.control.is_none().then(|| initial_list_confirmed_at(&setup.initial_list, clock.now()));
+        exchange.remember(clock.now(), setup.initial_list, confirmed_at);
         log::info!("{} listens on {address}: {}", setup.name, setup.budget);
         Ok(Service {
             phase,
             clock,
             exchange,
-            notes,
-            settings,
-            refused: Vec::new(),
+            exchange_rx,
+            settings_rx,
+            refused_changes: Vec::new(),
             control_status,
             connections,
-            configuration,
+            live_settings,
             terminate,
             interrupt,
             hangup,
-            given,
-            asks: asks_in,
-            started: Instant::now(),
-            told_to_end: None,
+            startup_settings,
+            discovery_tx,
+            started_at: Instant::now(),
+            shutdown_began_at: None,
             shutdown: ShutdownTimeline::new(links.longest_deadline),
-            logged: (Metrics::default(), Instant::now()),
+            last_metrics: LoggedMetrics { metrics: Metrics::default(), at: Instant::now() },
         })
     }
 
+    /// Runs the main loop until a shutdown is complete.
     pub async fn run(mut self) -> io::Result<()> {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_NOTES_PER_STEP);
         while !self.is_over() {
-            self.note_phase();
-            let wake = self.exchange.wake_at().map(|at| self.clock.instant_of(at));
-            let ShutdownTimeline { leaving, at_most, .. } = self.shutdown;
-            let turn =
-                self.told_to_end.map(|at| at + if self.is(Phase::Closing) { at_most } else { leaving });
-            let next = wake.into_iter().chain(turn.filter(|at| *at > Instant::now())).min();
-            let running = self.told_to_end.is_none();
+            self.update_phase();
+            let exchange_wake = self.exchange.wake_at().map(|at| self.clock.instant_of(at));
+            let shutdown_wake = self.next_shutdown_step().filter(|at| *at > Instant::now());
+            let next_wake = exchange_wake.into_iter().chain(shutdown_wake).min();
+            let is_running = self.shutdown_began_at.is_none();
             tokio::select! {
                 biased;
-                _ = self.terminate.recv(), if running => self.leave(),
-                _ = self.interrupt.recv(), if running => self.leave(),
-                _ = self.hangup.recv() => self.read_anew(),
-                Some(update) = self.settings.recv() => self.put_settings_in_force(update),
-                _ = self.notes.recv_many(&mut batch, BATCH) => {}
+                _ = self.terminate.recv(), if is_running => self.begin_shutdown(),
+                _ = self.interrupt.recv(), if is_running => self.begin_shutdown(),
+                _ = self.hangup.recv() => self.reload_configuration(),
+                Some(update) = self.settings_rx.recv() => self.apply_settings_update(update),
+                _ = self.exchange_rx.recv_many(&mut batch, MAX_NOTES_PER_STEP) => {}
                 () = self.connections.slot_freed.notified(), if self.is(Phase::Closing) => {}
-                () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {}
+                () = sleep_until(next_wake.unwrap_or_else(Instant::now)), if next_wake.is_some() => {}
             }
             self.exchange.step(self.clock.now(), batch.drain(..));
-            if self.logged.1.elapsed() >= METRICS_EVERY {
+            if self.last_metrics.at.elapsed() >= METRICS_LOG_INTERVAL {
                 self.log_metrics();
             }
         }
         self.log_metrics();
-        log::info!("ended: nothing is owed");
+        log::info!("shutdown complete: no answers are due");
         Ok(())
     }
 
+    /// When the shutdown enters its next step; `None` before a shutdown.
+    fn next_shutdown_step(&self) -> Option<Instant> {
+        let ShutdownTimeline { closing_after, exit_after, .. } = self.shutdown;
+        let step_after = if self.is(Phase::Closing) { exit_after } else { closing_after };
+        self.shutdown_began_at.map(|began_at| began_at + step_after)
+    }
+
+    /// Logs the counters if they have changed since they were logged last.
     fn log_metrics(&mut self) {
         let metrics = self.exchange.metrics();
-        if *metrics != self.logged.0 {
+        if *metrics != self.last_metrics.metrics {
             log::info!("metrics: {metrics}");
         }
-        self.logged = (metrics.clone(), Instant::now());
+        self.last_metrics = LoggedMetrics { metrics: metrics.clone(), at: Instant::now() };
     }
 
-    /// Discovery and most of the settings can change while requests are open. A file that can't be used must not end a
-    /// program that serves, so everything stays as it was.
-    fn read_anew(&mut self) {
+    /// Reads the configuration again and applies what can change while requests are open: the address of discovery and
+    /// most of the settings. An invalid file must not end a program that serves, so it changes nothing.
+    fn reload_configuration(&mut self) {
         let setup = match Setup::read(|name| std::env::var(name).ok()) {
             Ok(setup) => setup,
             Err(faults) => {
-                return log::error!("configuration: {}; the one before stays in force", faults.join("; "));
+                let faults = faults.join("; ");
+                return log::error!("configuration: {faults}; the previous configuration stays in force");
             }
         };
-        let given = setup.given();
-        for key in given.changed_since(&self.given) {
+        let new = setup.startup_settings();
+        for key in new.keys_changed_since(&self.startup_settings) {
             log::warn!("configuration: {key}: the change takes a restart");
         }
-        self.take_what_came();
+        self.handle_received_notes();
         let (now, file) = (self.clock.now(), &setup.settings);
-        if let Err(fault) = self.configuration.change_to(now, file, &mut self.exchange) {
-            return log::error!("configuration: settings: {fault}; the one before stays in force");
+        if let Err(fault) = self.live_settings.apply_file(now, file, &mut self.exchange) {
+            return log::error!("configuration: settings: {fault}; the previous settings stay in force");
         }
-        self.note_links();
-        self.retry_refused();
-        match given.discovery {
+        self.update_shutdown_timeline();
+        self.retry_refused_changes();
+        match new.discovery {
             Some(discovery) => log::info!("configuration read anew: discovery is at {discovery}"),
             None => log::info!("configuration read anew: control servers are followed"),
         }
-        // From control servers to discovery and back takes a restart, as has been logged.
-        if let (Some(now), Some(before)) = (given.discovery, self.given.discovery)
-            && now != before
+        // A change from control servers to discovery or back takes a restart; the loop above has logged that.
+        if let (Some(new_address), Some(old_address)) = (new.discovery, self.startup_settings.discovery)
+            && new_address != old_address
         {
             self.exchange.move_discovery(self.clock.now());
-            let _ended = self.asks.send(DiscoveryCommand::ChangeAddress(now));
-            self.given.discovery = Some(now);
+            let _ended = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
+            self.startup_settings.discovery = Some(new_address);
         }
     }
 
-    /// Puts changes of the settings by records in force: all of them or none.
+    /// Applies changes of the settings by records: all of them or none.
     fn change_settings(&mut self, changes: &[SettingChange]) -> Result<(), Fault> {
-        self.take_what_came();
-        self.configuration.change(self.clock.now(), changes, &mut self.exchange)?;
-        self.note_links();
+        self.handle_received_notes();
+        self.live_settings.apply_records(self.clock.now(), changes, &mut self.exchange)?;
+        self.update_shutdown_timeline();
         Ok(())
     }
 
-    /// The records of a settings update together. Where the settings don't allow all of them, each that they do.
-    fn put_settings_in_force(&mut self, SettingsUpdate { changes, applied }: SettingsUpdate) {
-        self.refused.retain(|refused| changes.iter().all(|change| change.key != refused.key));
+    /// Applies the records of an update together. If they are not valid together, applies each one that is valid by
+    /// itself.
+    fn apply_settings_update(&mut self, SettingsUpdate { changes, applied }: SettingsUpdate) {
+        self.refused_changes.retain(|refused| changes.iter().all(|change| change.key != refused.key));
         let settings: Vec<SettingChange> = changes.iter().map(setting_change).collect();
         if let Err(fault) = self.change_settings(&settings) {
-            log::error!("control: settings: {fault}; {} changes are tried one by one", changes.len());
+            log::error!("control: settings: {fault}; applying the {} changes one by one", changes.len());
             for (change, setting) in changes.iter().zip(&settings) {
                 if let Err(fault) = self.change_settings(std::slice::from_ref(setting)) {
                     log::error!("control: {}: {fault}; it stays as it was", change.key);
-                    self.refused.push(change.clone());
+                    self.refused_changes.push(change.clone());
                 }
             }
         }
-        self.retry_refused();
+        self.retry_refused_changes();
         let _ended = applied.send(());
     }
 
-    /// Puts records in force that the settings did not allow before, where they do now. Control servers are told of
-    /// those that are left.
-    fn retry_refused(&mut self) {
-        for change in std::mem::take(&mut self.refused) {
+    /// Applies refused records that have become valid with the current settings, and reports the number of the others
+    /// to the control servers.
+    fn retry_refused_changes(&mut self) {
+        for change in std::mem::take(&mut self.refused_changes) {
             match self.change_settings(&[setting_change(&change)]) {
                 Ok(()) => log::info!("control: {}: refused before, in force now", change.key),
-                Err(_) => self.refused.push(change),
+                Err(_) => self.refused_changes.push(change),
             }
         }
-        self.control_status.note_refused(self.refused.len() as u64);
+        self.control_status.note_refused(self.refused_changes.len() as u64);
     }
 
-    /// Requests that have come already were read with the classes as they were, whose numbers may be used again.
-    fn take_what_came(&mut self) {
-        let mut come = Vec::new();
-        while let Ok(note) = self.notes.try_recv() {
-            come.push(note);
+    /// Hands the notes received so far to the exchange. They must not be handled after a change of the settings: their
+    /// requests carry class numbers from before it, which the change may give to other classes.
+    fn handle_received_notes(&mut self) {
+        let mut received = Vec::new();
+        while let Ok(note) = self.exchange_rx.try_recv() {
+            received.push(note);
         }
-        self.exchange.step(self.clock.now(), come);
+        self.exchange.step(self.clock.now(), received);
     }
 
-    /// An end that has begun keeps its times.
-    fn note_links(&mut self) {
-        if self.told_to_end.is_none() {
-            self.shutdown = ShutdownTimeline::new(self.configuration.links().longest_deadline);
+    /// Adapts the timeline of a later shutdown to the settings. The timeline of a shutdown under way does not change.
+    fn update_shutdown_timeline(&mut self) {
+        if self.shutdown_began_at.is_none() {
+            self.shutdown = ShutdownTimeline::new(self.live_settings.links().longest_deadline);
         }
     }
 
-    fn leave(&mut self) {
-        self.told_to_end = Some(Instant::now());
-        self.exchange.end_by(self.clock.now() + self.shutdown.answered);
+    fn begin_shutdown(&mut self) {
+        self.shutdown_began_at = Some(Instant::now());
+        self.exchange.end_by(self.clock.now() + self.shutdown.answers_due_after);
     }
 
     fn is(&self, phase: Phase) -> bool {
         *self.phase.borrow() == phase
     }
 
-    /// Clients are better served elsewhere for as long as nothing may be sent, but not for ever.
+    /// Whether the program may report that it is ready. While nothing may be sent to the upstreams because their list
+    /// is not confirmed, clients are better served by other balancers, but not for longer than
+    /// [`MAX_UNCONFIRMED_START`]. A program that has been ready stays so.
     fn may_serve(&self) -> bool {
-        let is_ready = !self.exchange.is_list_stale() || self.started.elapsed() >= UNCONFIRMED_START;
-        is_ready || self.is(Phase::Serving)
+        let is_waiting_over = self.started_at.elapsed() >= MAX_UNCONFIRMED_START;
+        !self.exchange.is_list_stale() || is_waiting_over || self.is(Phase::Serving)
     }
 
-    fn note_phase(&mut self) {
-        let phase = match self.told_to_end {
-            Some(at) if at.elapsed() >= self.shutdown.leaving => Phase::Closing,
+    fn update_phase(&mut self) {
+        let phase = match self.shutdown_began_at {
+            Some(began_at) if began_at.elapsed() >= self.shutdown.closing_after => Phase::Closing,
             Some(_) => Phase::Leaving,
             None if self.exchange.knows_upstreams() && self.may_serve() => Phase::Serving,
             None => Phase::Starting,
         };
-        self.phase.send_if_modified(|now| {
-            let changed = *now != phase;
-            if changed {
+        self.phase.send_if_modified(|current| {
+            let is_changed = *current != phase;
+            if is_changed {
                 log::info!("{phase:?}");
             }
-            *now = phase;
-            changed
+            *current = phase;
+            is_changed
         });
     }
 
+    /// Whether the shutdown is complete: all requests are answered, and the connections are closed or out of time.
     fn is_over(&self) -> bool {
-        let late = self.told_to_end.is_some_and(|at| at.elapsed() >= self.shutdown.at_most);
-        self.is(Phase::Closing) && self.exchange.owed() == 0 && (self.connections.is_empty() || late)
+        let is_out_of_time =
+            self.shutdown_began_at.is_some_and(|began_at| began_at.elapsed() >= self.shutdown.exit_after);
+        let is_idle = self.connections.is_empty() || is_out_of_time;
+        self.is(Phase::Closing) && self.exchange.owed() == 0 && is_idle
     }
 }
 
-/// An attempt that is still connecting when its upstream is told to drain must leave within the grace. With none
-/// at all, what the limit is longer on sockets is left.
-pub(super) fn connect_within(links: &Links) -> TenthMillis {
-    links.connect_within.min((links.drain_grace + ON_SOCKETS) / 2)
+/// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream is told
+/// to drain must reach it within half of the drain grace. If the grace is 0, half of [`CONNECTION_LIMIT_MARGIN`] is
+/// left.
+pub(super) fn connect_timeout(links: &Links) -> TenthMillis {
+    links.connect_within.min((links.drain_grace + CONNECTION_LIMIT_MARGIN) / 2)
 }
 
-/// Connections that wait to be taken. Hundreds may come at once, and one that finds no room here tries again
-/// only after a second.
-const BACKLOG: u32 = 1024;
+/// How many connections the kernel queues until they are accepted. Hundreds may arrive at once, and a client whose
+/// connection does not fit into the queue repeats its handshake only after a second.
+const LISTEN_BACKLOG: u32 = 1024;
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Up to when the list that a process starts with is known to be right. One of version 0 was made for this start. Any other
-/// is as the process before this one had it, which may have had no word from discovery for long.
-fn known_at(known: &UpstreamList, now: TenthMillis) -> TenthMillis {
-    if known.version == 0 { now - RESTART_TIME } else { 0 }
+/// The time up to which the initial list is known to be current. A list of version 0 was made for this start. Any other
+/// comes from the process before this one, to which discovery may not have answered for long.
+fn initial_list_confirmed_at(list: &UpstreamList, now: TenthMillis) -> TenthMillis {
+    if list.version == 0 { now - PROCESS_RESTART_TIME } else { 0 }
 }
 
-/// The classes that requests may name; where a name stands twice, the first has it.
-fn numbered(names: &[String]) -> Classes {
+/// Maps the names of classes, which requests carry, to their numbers. If a name occurs twice, the first one counts.
+fn class_numbers(names: &[String]) -> Classes {
     let mut classes = Classes::new();
     for (number, name) in (0..).zip(names) {
         classes.entry(name.clone()).or_insert(number);
--- a/crates/pondlb-server/src/program/tests.rs
+++ b/crates/pondlb-server/src/program/tests.rs
@@ -1,30 +1,30 @@
-//! The times of an orderly end, and how long connections may take to come up.
+//! The times of a graceful shutdown, and the timeout for connecting to upstreams.
 
 use expect_test::expect;
 use pondlb_terms::Links;
 
-use super::service::{ShutdownTimeline, connect_within};
+use super::service::{ShutdownTimeline, connect_timeout};
 
 #[test]
-fn connections_come_up_within_half_the_grace_and_have_time_to_without_one() {
-    let waits = [0, 2000, 5000, 600_000].map(|drain_grace| {
+fn connect_timeout_is_at_most_half_the_drain_grace_and_never_zero() {
+    let timeouts = [0, 2000, 5000, 600_000].map(|drain_grace| {
         let (idle, most_open, longest_deadline) = (150_000, 20_000, None);
-        connect_within(&Links { connect_within: 2500, idle, drain_grace, most_open, longest_deadline })
+        connect_timeout(&Links { connect_within: 2500, idle, drain_grace, most_open, longest_deadline })
     });
-    expect!["[250, 1250, 2500, 2500]"].assert_eq(&format!("{waits:?}"));
+    expect!["[250, 1250, 2500, 2500]"].assert_eq(&format!("{timeouts:?}"));
 }
 
 #[test]
-fn the_end_comes_before_the_kill_and_no_sooner_than_clients_stay() {
+fn shutdown_ends_before_the_kill_and_not_before_new_clients_stay_away() {
     let mut trace = String::new();
     for deadline in [None, Some(60_000), Some(20_000), Some(1000)] {
         trace += &format!("{deadline:?}: {:?}\n", ShutdownTimeline::new(deadline));
     }
     expect![[r#"
-        None: ShutdownTimeline { leaving: 600ms, answered: 33000, at_most: 3.5s }
-        Some(60000): ShutdownTimeline { leaving: 2.9s, answered: 33000, at_most: 3.5s }
-        Some(20000): ShutdownTimeline { leaving: 1.9s, answered: 23000, at_most: 2.5s }
-        Some(1000): ShutdownTimeline { leaving: 400ms, answered: 4000, at_most: 600ms }
+        None: ShutdownTimeline { closing_after: 600ms, answers_due_after: 33000, exit_after: 3.5s }
+        Some(60000): ShutdownTimeline { closing_after: 2.9s, answers_due_after: 33000, exit_after: 3.5s }
+        Some(20000): ShutdownTimeline { closing_after: 1.9s, answers_due_after: 23000, exit_after: 2.5s }
+        Some(1000): ShutdownTimeline { closing_after: 400ms, answers_due_after: 4000, exit_after: 600ms }
     "#]]
     .assert_eq(&trace);
 }
