--- a/crates/pondlb-server/src/program/live_settings.rs
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// The wait advised to a client whose request is rejected for overload before it is read: half of the longest wait
-/// that may be advised.
+/// The wait advised to a client whose request is rejected for overload before it reaches the exchange: half of the
+/// longest wait that may be advised.
 pub fn overload_retry_after(max_retry_after: Option<TenthMillis>) -> Option<TenthMillis> {
     max_retry_after.map(|max_retry_after| max_retry_after / 2)
 }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -46,8 +46,8 @@
     pub connections: Rc<ConnectionTable>,
     /// The classes that requests may name.
     pub classes: RefCell<Classes>,
-    /// The wait advised to clients whose requests are rejected for overload before they are read; none is advised
-    /// where it is `None`.
+    /// The wait advised to clients whose requests are rejected for overload before they reach the exchange; none is
+    /// advised where it is `None`.
     pub overload_retry_after: Cell<Option<TenthMillis>>,
     /// Where requests, and clients that disconnect, are reported.
     pub exchange_tx: mpsc::UnboundedSender<Note>,
