--- a/crates/pondlb-control/src/active_state.rs
+++ b/crates/pondlb-control/src/active_state.rs
@@ -7,7 +7,7 @@
 use crate::record_hashes::RecordHashes;
 use crate::{Change, ChangesResponse, Digest, Key, KeyInterner, Limits, RecordValidator, Rejection, Version};
 
-/// The state that a replica has verified and handed to its consumer.
+/// The state that a replica has applied and handed to its consumer.
 #[derive(Debug)]
 pub(crate) struct ActiveState {
     /// Bounds that received values and states must keep.
