--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_subset_is_the_same_as_one_chosen_anew_from_the_whole_list() {
+fn incremental_subset_equals_one_computed_from_the_whole_list() {
     let mut rng = WyRand::new_seed(5);
     let (mut balancer, mut model, mut now) = (Balancer::new(terms(), 7), Model::default(), 0);
     let mut sizes = BTreeSet::new();
