--- a/benches/list_change.rs
+++ b/benches/list_change.rs
@@ -1,4 +1,4 @@
-//! What a change of the upstream list costs a balancer with usual traffic, by the length of the list.
+//! The time that a balancer with usual traffic takes to handle a change of the upstream list, by the length of the list.
 
 use std::hint::black_box;
 
@@ -10,18 +10,21 @@
 
 const MS: TenthMillis = 10;
 const SECOND: TenthMillis = 1000 * MS;
-const LENGTHS: [usize; 4] = [200, 2_000, 8_000, 24_000];
+const LIST_LENGTHS: [usize; 4] = [200, 2_000, 8_000, 24_000];
 const ZONES: usize = 10;
-/// The zone that drains at once, and the most upstreams that one change names.
-const ZONE: usize = 2_400;
-const SLICE: usize = 64;
-/// Requests a second, and how long they came before the first change.
-const RATE: u64 = 50;
-const WARMED: TenthMillis = 20 * SECOND;
-const ANSWERED_IN: TenthMillis = 20 * MS;
-const OPEN: usize = 8;
+/// Upstreams of the zone that drains, and the most that one change of the list names.
+const DRAINING_ZONE_SIZE: usize = 2_400;
+const CHANGE_SIZE: usize = 64;
+const REQUESTS_PER_SECOND: u64 = 50;
+/// How long requests are served before the first change.
+const WARM_UP_TIME: TenthMillis = 20 * SECOND;
+const RESPONSE_TIME: TenthMillis = 20 * MS;
+/// Seed of the balancer's random choices.
+const SEED: u64 = 7;
+/// Requests that are open during the changes.
+const OPEN_REQUESTS: usize = 8;
 
-fn terms() -> BalancerConfig {
+fn config() -> BalancerConfig {
     BalancerConfig {
         balancer_count: 100,
         own_index: 7,
@@ -46,49 +49,50 @@
     }
 }
 
-fn entry(number: usize, stage: Stage) -> UpstreamEntry {
-    let zone = (number % ZONES) as u32;
-    let upstream = format!("10.{}.{}.{}:8080", number % 7, number / 250, number % 250).into();
+fn upstream_entry(index: usize, stage: Stage) -> UpstreamEntry {
+    let zone = (index % ZONES) as u32;
+    let upstream = format!("10.{}.{}.{}:8080", index % 7, index / 250, index % 250).into();
     UpstreamEntry { upstream, cell: 0, started_at: None, capacity: 0.7, zone, kind: 0, stage }
 }
 
 /// A balancer that has served for a while, with some requests open.
-struct Serving {
+struct ServingBalancer {
     balancer: Balancer,
     now: TenthMillis,
     actions: Vec<Action>,
-    requests: u64,
+    /// Requests that have arrived so far.
+    request_count: u64,
 }
 
-impl Serving {
-    fn start(length: usize) -> Serving {
-        let (balancer, actions) = (Balancer::new(terms(), 7), Vec::new());
-        let mut serving = Serving { balancer, now: 0, actions, requests: 0 };
-        let entries = (0..length).map(|number| entry(number, Stage::Live)).collect();
+impl ServingBalancer {
+    fn start(list_length: usize) -> ServingBalancer {
+        let (balancer, actions) = (Balancer::new(config(), SEED), Vec::new());
+        let mut serving = ServingBalancer { balancer, now: 0, actions, request_count: 0 };
+        let entries = (0..list_length).map(|index| upstream_entry(index, Stage::Live)).collect();
         serving.handle(Event::ListUpdate(ListUpdate::Snapshot(entries)));
-        while serving.now < WARMED {
-            serving.now += SECOND / RATE;
-            let sent = serving.request();
-            serving.now += ANSWERED_IN;
-            let answers = sent.into_iter().filter_map(answer);
+        while serving.now < WARM_UP_TIME {
+            serving.now += SECOND / REQUESTS_PER_SECOND;
+            let actions = serving.receive_request();
+            serving.now += RESPONSE_TIME;
+            let answers = actions.into_iter().filter_map(answer_to);
             answers.for_each(|event| serving.handle(event));
         }
-        for _ in 0..OPEN {
-            serving.request();
+        for _ in 0..OPEN_REQUESTS {
+            serving.receive_request();
         }
         serving
     }
 
-    fn request(&mut self) -> Vec<Action> {
-        self.requests += 1;
-        let (request, left, cost) = (format!("r{}", self.requests).into(), SECOND, Some(20 * MS));
+    /// Handles the arrival of a request and returns the actions.
+    fn receive_request(&mut self) -> Vec<Action> {
+        self.request_count += 1;
         let arrival = Arrival {
-            request,
+            request: format!("r{}", self.request_count).into(),
             class: 0,
             tenant: 0,
             affinity_key: None,
-            time_left: left,
-            cost,
+            time_left: SECOND,
+            cost: Some(20 * MS),
             is_retry: false,
             is_write: false,
         };
@@ -104,52 +108,54 @@
     }
 }
 
-fn answer(action: Action) -> Option<Event> {
+/// The successful end of an attempt; none for another action.
+fn answer_to(action: Action) -> Option<Event> {
     let Action::Attempt { request, upstream, .. } = action else { return None };
-    let (outcome, load) = (Outcome::Ok, Load::default());
     Some(Event::AttemptEnded {
         request,
         attempt: 0,
         upstream,
-        outcome,
-        duration: ANSWERED_IN,
+        outcome: Outcome::Ok,
+        duration: RESPONSE_TIME,
         answered: true,
-        load,
+        load: Load::default(),
     })
 }
 
-fn changes(numbers: impl Iterator<Item = usize>, stage: Stage) -> Event {
-    Event::ListUpdate(ListUpdate::Changes(numbers.map(|number| entry(number, stage)).collect()))
+/// Changes the stage of the upstreams with these indices.
+fn stage_changes(indices: impl Iterator<Item = usize>, stage: Stage) -> Event {
+    Event::ListUpdate(ListUpdate::Changes(indices.map(|index| upstream_entry(index, stage)).collect()))
 }
 
-/// One upstream drains and comes back: two changes an iteration.
+/// One upstream drains and becomes live again: two changes in each iteration.
 fn one_upstream(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one upstream drains and comes back");
-    for length in LENGTHS {
-        let mut serving = Serving::start(length);
-        let mut number = 0;
+    for length in LIST_LENGTHS {
+        let mut serving = ServingBalancer::start(length);
+        let mut index = 0;
         group.bench_function(BenchmarkId::from_parameter(length), |bencher| {
             bencher.iter(|| {
-                number = (number + 37) % length;
-                serving.handle(changes([number].into_iter(), Stage::Draining));
-                serving.handle(changes([number].into_iter(), Stage::Live));
+                index = (index + 37) % length;
+                serving.handle(stage_changes([index].into_iter(), Stage::Draining));
+                serving.handle(stage_changes([index].into_iter(), Stage::Live));
             });
         });
     }
     group.finish();
 }
 
-/// A whole zone drains and comes back, a slice at a time.
+/// All upstreams of a zone drain and become live again, a few in each change.
 fn one_zone(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("a zone of 2400 drains and comes back in slices of 64");
     group.sample_size(10);
     let length = 24_000;
-    let mut serving = Serving::start(length);
-    let zone: Vec<usize> = (0..length).filter(|number| number % ZONES == 3).take(ZONE).collect();
+    let mut serving = ServingBalancer::start(length);
+    let zone: Vec<usize> = (0..length).filter(|index| index % ZONES == 3).take(DRAINING_ZONE_SIZE).collect();
     group.bench_function(BenchmarkId::from_parameter(length), |bencher| {
         bencher.iter(|| {
             for stage in [Stage::Draining, Stage::Live] {
-                zone.chunks(SLICE).for_each(|slice| serving.handle(changes(slice.iter().copied(), stage)));
+                zone.chunks(CHANGE_SIZE)
+                    .for_each(|slice| serving.handle(stage_changes(slice.iter().copied(), stage)));
             }
         });
     });
