--- a/src/balance.rs
+++ b/src/balance.rs
@@ -57,7 +57,7 @@
     lease: ListLease,
 }
 
-/// The token bucket of one tenant's quota, which holds the tokens of one second.
+/// The token bucket of one tenant's quota. It holds the tokens of one second, and at least one.
 #[derive(Clone, Default)]
 struct QuotaBucket {
     tokens: f64,
@@ -164,6 +164,7 @@
         self.fleet.update_in_flight(now, -1.0);
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Full) && !zone_is_silent {
             let waited = duration as f64 - MAX_UNLOADED_PACE * cost;
+            // More than half the SLA time without being worked on.
             let has_waited_too_long = 2.0 * waited > sla_time as f64 || outcome == Outcome::Full;
             self.fleet.adapt_concurrency_limit(has_waited_too_long, &self.config);
         }
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -1,5 +1,5 @@
 //! The [`Balancer`]: the order of steps after each batch of events, and the table of upstreams with their
-//! removal.
+//! removal. The other modules make the decisions.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -20,9 +20,8 @@
 const MIN_WINDOW_SAMPLES: u32 = 32;
 /// The quantiles are computed anew after this many samples, and not from fewer.
 const QUANTILE_UPDATE_SAMPLES: u32 = 16;
-/// The bins of the histogram: 8 for each power of two of tenths of a millisecond, up to 2^20 of them (105
-/// seconds).
-const GROUPING_POWER: u8 = 3;
+/// The bins of the durations: 8 for each power of two, up to 2^20 tenths of a millisecond (105 seconds).
+const DURATION_GROUPING_POWER: u8 = 3;
 const MAX_DURATION_POWER: u8 = 20;
 /// The number of answers in the running mean of one upstream's pace.
 const UPSTREAM_PACE_SAMPLES: f64 = 8.0;
@@ -66,7 +65,8 @@
     pub fn new(config: &BalancerConfig) -> Self {
         let shortest_sla_time = config.classes.iter().map(|class| class.sla_time).min().unwrap_or(SECOND);
         ResponseTimes {
-            histogram: Histogram::new(GROUPING_POWER, MAX_DURATION_POWER).expect("the bins are constant"),
+            histogram: Histogram::new(DURATION_GROUPING_POWER, MAX_DURATION_POWER)
+                .expect("the bins are constant"),
             new_samples: 0,
             halved_at: 0,
             high_quantile: (shortest_sla_time / 2).max(1),
