--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -47,9 +47,8 @@
     /// Sends one waiting request or gives one up; false when none can be sent now.
     pub fn dispatch_next(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> bool {
         self.fleet.update_in_flight(now, 0.0);
-        let by_send_time = self.queue.by_send_time.iter();
-        let next: Vec<RequestNumber> =
-            by_send_time.take(MAX_TRIED_REQUESTS).map(|(_, number)| *number).collect();
+        let by_send_time = self.queue.by_send_time.iter().take(MAX_TRIED_REQUESTS);
+        let next: Vec<RequestNumber> = by_send_time.map(|waiting| waiting.request).collect();
         for number in next {
             if let Some(reason) = self.reason_to_give_up(now, number) {
                 // An early answer serves the client better than a late one.
@@ -79,6 +78,7 @@
         is_window_over.then_some(GiveUpReason::WindowOver)
     }
 
+    /// Sends a request to the chosen upstream, unless its answer would be late there.
     fn send_or_give_up(
         &mut self,
         now: TenthMillis,
@@ -260,6 +260,7 @@
         (!awaits_more).then_some(answered)
     }
 
+    /// The upstream that would serve a request of this cost soonest.
     fn least_loaded(&self, now: TenthMillis, indices: &[UpstreamIndex], cost: f64) -> Option<UpstreamIndex> {
         let load = |index: &UpstreamIndex| self.load(now, *index, cost);
         indices.iter().copied().min_by(|a, b| load(a).total_cmp(&load(b)))
@@ -352,6 +353,7 @@
         cost + NEW_CONNECTION_COST_FACTOR * self.fleet.costs.mean()
     }
 
+    /// Sends the next attempt of a request, and sets the alarm for when it is overdue.
     fn send_attempt(
         &mut self,
         now: TenthMillis,
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -57,6 +57,7 @@
 }
 
 impl Request {
+    /// Its value to the client, by its class and its tenant's quota.
     pub fn value(&self) -> f64 {
         f64::from_bits(self.value_bits)
     }
@@ -108,18 +109,35 @@
     ProbesOver,
 }
 
+/// A waiting request; the one that has to be sent first comes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WaitingBySendTime {
+    pub send_by: TenthMillis,
+    pub request: RequestNumber,
+}
+
+/// A waiting request; the one of least value comes first, and among equals the one that can wait longest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingByValue {
+    value_bits: u64,
+    send_by: Reverse<TenthMillis>,
+    request: RequestNumber,
+}
+
 /// The open requests, and the order of those that wait.
 #[derive(Default)]
 pub struct Queue {
     pub requests: BTreeMap<RequestNumber, Request>,
     pub number_by_id: HashMap<RequestId, RequestNumber>,
+    /// The number of the next request to arrive.
     pub next_number: RequestNumber,
     /// Waiting requests by the latest time to send them.
-    pub by_send_time: BTreeSet<(TenthMillis, RequestNumber)>,
-    /// Waiting requests by value; among equals, the one that can wait longest comes first.
-    by_value: BTreeSet<(u64, Reverse<TenthMillis>, RequestNumber)>,
+    pub by_send_time: BTreeSet<WaitingBySendTime>,
+    /// Waiting requests by value.
+    by_value: BTreeSet<WaitingByValue>,
     /// The sum of the costs of waiting requests.
     waiting_cost: f64,
+    /// The earliest alarm comes first.
     pub alarms: BinaryHeap<Reverse<Alarm>>,
 }
 
@@ -132,8 +150,12 @@
         let too_late_from = request.sla_end.saturating_sub(self.response_times.low_quantile);
         let wait_until = too_late_from.min(repeat_by).max(now + 1);
         request.waiting_send_by = Some(send_by);
-        self.queue.by_send_time.insert((send_by, number));
-        self.queue.by_value.insert((request.value_bits, Reverse(send_by), number));
+        self.queue.by_send_time.insert(WaitingBySendTime { send_by, request: number });
+        self.queue.by_value.insert(WaitingByValue {
+            value_bits: request.value_bits,
+            send_by: Reverse(send_by),
+            request: number,
+        });
         self.queue.waiting_cost += request.cost;
         let alarm = Alarm { at: wait_until, request: number, kind: AlarmKind::WaitOver };
         self.queue.alarms.push(Reverse(alarm));
@@ -143,15 +165,19 @@
     pub fn dequeue(&mut self, number: RequestNumber) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
         let Some(send_by) = request.waiting_send_by.take() else { return };
-        self.queue.by_send_time.remove(&(send_by, number));
-        self.queue.by_value.remove(&(request.value_bits, Reverse(send_by), number));
+        self.queue.by_send_time.remove(&WaitingBySendTime { send_by, request: number });
+        self.queue.by_value.remove(&WaitingByValue {
+            value_bits: request.value_bits,
+            send_by: Reverse(send_by),
+            request: number,
+        });
         self.queue.waiting_cost -= request.cost;
     }
 
     /// Under overload, drops the waiting requests of least value at once, instead of after a wait that serves
     /// nobody.
     pub fn shed_load(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        while let Some(&(_, _, number)) = self.queue.by_value.first() {
+        while let Some(&WaitingByValue { request: number, .. }) = self.queue.by_value.first() {
             let request = &self.queue.requests[&number];
             let served_cost_rate = self.fleet.served_cost_rate.value_at(now, RATE_HALF_LIFE);
             let latest_send = request.sla_end.saturating_sub(self.response_times.high_quantile);
--- a/src/balance/subset.rs
+++ b/src/balance/subset.rs
@@ -77,12 +77,14 @@
     live_capacity: Option<f64>,
     /// How many attempts this balancer may have in flight.
     pub concurrency_limit: f64,
+    /// Attempts in flight at all upstreams, and their mean over about `MEAN_IN_FLIGHT_TIME`.
     pub in_flight: f64,
     pub mean_in_flight: f64,
     in_flight_updated_at: TenthMillis,
 }
 
 impl Fleet {
+    /// A fleet without upstreams.
     pub fn new() -> Self {
         Fleet { concurrency_per_upstream: 1.0, ..Fleet::default() }
     }
