--- a/crates/pondlb-server/src/program/configuration.rs
+++ b/crates/pondlb-server/src/program/configuration.rs
@@ -6,7 +6,7 @@
 use pondlb_terms::{Applied, Fault, Links, SettingChange, Settings};
 
 use super::service::connect_within;
-use crate::routing::{Carrier, Exchange};
+use crate::routing::{Router, Transport};
 use crate::transport::{Front, Pool, span};
 
 /// What changes in place while the program serves.
@@ -18,11 +18,11 @@
 
 impl Configuration {
     /// Puts changes by records in force: all of them or none. Requests that are open end under what they came with.
-    pub fn change<C: Carrier>(
+    pub fn change<C: Transport>(
         &mut self,
         now: TenthMillis,
         changes: &[SettingChange],
-        exchange: &mut Exchange<C>,
+        exchange: &mut Router<C>,
     ) -> Result<(), Fault> {
         let applied = self.settings.change(changes)?;
         self.put_in_force(now, applied, exchange);
@@ -30,11 +30,11 @@
     }
 
     /// The same for a file that was read anew, with a warning for each key that can't change in place.
-    pub fn change_to<C: Carrier>(
+    pub fn change_to<C: Transport>(
         &mut self,
         now: TenthMillis,
         file: &Settings,
-        exchange: &mut Exchange<C>,
+        exchange: &mut Router<C>,
     ) -> Result<(), Fault> {
         let difference = self.settings.difference(file);
         for key in &difference.restart {
@@ -49,11 +49,11 @@
         self.settings.links()
     }
 
-    fn put_in_force<C: Carrier>(&self, now: TenthMillis, applied: Applied, exchange: &mut Exchange<C>) {
+    fn put_in_force<C: Transport>(&self, now: TenthMillis, applied: Applied, exchange: &mut Router<C>) {
         if applied.changed == 0 {
             return;
         }
-        exchange.change(now, &applied.terms);
+        exchange.apply_config_changes(now, &applied.terms);
         self.front.change_classes(applied.classes);
         self.front.cool_down.set(cool_down(self.settings.limits().max_retry_after));
         let links = self.links();
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -16,10 +16,10 @@
 
 use super::configuration::{Configuration, cool_down};
 use super::setup::{Given, Setup};
-use crate::protocol::client::Classes;
+use crate::protocol::client::ClassIndexes;
 use crate::protocol::control::setting_change;
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::{Directory, Exchange, Metrics, Note};
+use crate::routing::{Metrics, Router, RouterEvent, UpstreamDirectory};
 use crate::transport::{
     Ask, Attempts, Backoff, Clock, ConnectionTable, Follower, Front, ListLimit, Patience, Phase, Pool,
     SettingsUpdate, discover, follow_control, listen, span,
@@ -73,12 +73,12 @@
 /// A whole state from control servers may take this part of the memory, beside what is served.
 const STATE_SHARE: usize = 4;
 
-/// The running program: its phase, and the loop that hands what happens to the exchange.
+/// The running program: its phase, and the loop that hands events to the router.
 pub struct Service {
     phase: watch::Sender<Phase>,
     clock: Clock,
-    exchange: Exchange<Attempts>,
-    notes: mpsc::UnboundedReceiver<Note>,
+    exchange: Router<Attempts>,
+    notes: mpsc::UnboundedReceiver<RouterEvent>,
     /// From control servers; closed where none are followed.
     settings: mpsc::UnboundedReceiver<SettingsUpdate>,
     /// Records from control servers that the settings as a whole do not allow so far.
@@ -133,7 +133,7 @@
         });
         spawn_local(listen(listener, front.clone()));
         let configuration = Configuration { settings: setup.settings, front, pool: pool.clone() };
-        let directory = Directory::new(setup.deployment.names, clock.unix_start());
+        let directory = UpstreamDirectory::new(setup.deployment.names, clock.unix_start());
         let balancer = Balancer::new(terms, setup.seed);
         if let Some(discovery) = setup.discovery {
             let limit = ListLimit { longest: setup.budget.longest_list, backoff: Backoff::new(setup.seed) };
@@ -162,12 +162,12 @@
         }
         let carrier =
             Attempts { pool, clock, memory, notes: notes_in, asks: asks_in.clone(), probing: setup.probing };
-        let mut exchange = Exchange::new(balancer, directory, carrier, SLACK);
+        let mut exchange = Router::new(balancer, directory, carrier, SLACK);
         if setup.control.is_some() {
-            exchange.await_state();
+            exchange.await_first_snapshot();
         }
         let current_at = setup.control.is_none().then(|| known_at(&setup.known, clock.now()));
-        exchange.remember(clock.now(), setup.known, current_at);
+        exchange.restore_list(clock.now(), setup.known, current_at);
         log::info!("{} listens on {address}: {:?}", setup.name, setup.budget);
         Ok(Service {
             phase,
@@ -195,7 +195,7 @@
         let mut batch = Vec::with_capacity(BATCH);
         while !self.is_over() {
             self.note_phase();
-            let wake = self.exchange.wake_at().map(|at| self.clock.instant(at));
+            let wake = self.exchange.next_wakeup().map(|at| self.clock.instant(at));
             let ShutdownTimeline { leaving, at_most, .. } = self.shutdown;
             let turn =
                 self.told_to_end.map(|at| at + if self.is(Phase::Closing) { at_most } else { leaving });
@@ -211,7 +211,7 @@
                 () = self.connections.changed.notified(), if self.is(Phase::Closing) => {}
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {}
             }
-            self.exchange.step(self.clock.now(), batch.drain(..));
+            self.exchange.handle_events(self.clock.now(), batch.drain(..));
             if self.logged.1.elapsed() >= METRICS_EVERY {
                 self.log_metrics();
             }
@@ -257,7 +257,7 @@
         if let (Some(now), Some(before)) = (given.discovery, self.given.discovery)
             && now != before
         {
-            self.exchange.move_discovery(self.clock.now());
+            self.exchange.discovery_address_changed(self.clock.now());
             let _ended = self.asks.send(Ask::Move(now));
             self.given.discovery = Some(now);
         }
@@ -306,7 +306,7 @@
         while let Ok(note) = self.notes.try_recv() {
             come.push(note);
         }
-        self.exchange.step(self.clock.now(), come);
+        self.exchange.handle_events(self.clock.now(), come);
     }
 
     /// An end that has begun keeps its times.
@@ -318,7 +318,7 @@
 
     fn leave(&mut self) {
         self.told_to_end = Some(Instant::now());
-        self.exchange.end_by(self.clock.now() + self.shutdown.answered);
+        self.exchange.set_shutdown_deadline(self.clock.now() + self.shutdown.answered);
     }
 
     fn is(&self, phase: Phase) -> bool {
@@ -335,7 +335,7 @@
         let phase = match self.told_to_end {
             Some(at) if at.elapsed() >= self.shutdown.leaving => Phase::Closing,
             Some(_) => Phase::Leaving,
-            None if self.exchange.knows_upstreams() && self.may_serve() => Phase::Serving,
+            None if self.exchange.has_upstreams() && self.may_serve() => Phase::Serving,
             None => Phase::Starting,
         };
         self.phase.send_if_modified(|now| {
@@ -350,7 +350,9 @@
 
     fn is_over(&self) -> bool {
         let late = self.told_to_end.is_some_and(|at| at.elapsed() >= self.shutdown.at_most);
-        self.is(Phase::Closing) && self.exchange.owed() == 0 && (self.connections.is_empty() || late)
+        self.is(Phase::Closing)
+            && self.exchange.unanswered_count() == 0
+            && (self.connections.is_empty() || late)
     }
 }
 
@@ -378,8 +380,8 @@
 }
 
 /// The classes that requests may name; where a name stands twice, the first has it.
-fn numbered(names: &[String]) -> Classes {
-    let mut classes = Classes::new();
+fn numbered(names: &[String]) -> ClassIndexes {
+    let mut classes = ClassIndexes::new();
     for (number, name) in (0..).zip(names) {
         classes.entry(name.clone()).or_insert(number);
     }
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -199,7 +199,7 @@
         deployment.terms.probing = probing.is_some();
         let mut known = known.unwrap_or_default();
         // It stands for all that was known, whatever its last call brought.
-        known.whole = true;
+        known.is_snapshot = true;
         log::debug!("settings {}", file.settings.get());
         let name = file.name.or_else(|| env("RELAY_NAME")).unwrap_or_else(|| "pondlb".into());
         Ok(Setup { name, listen, discovery, control, seed, budget, known, deployment, probing, settings })
--- a/crates/pondlb-server/src/protocol/answer.rs
+++ b/crates/pondlb-server/src/protocol/answer.rs
@@ -9,24 +9,24 @@
 pub enum Answer {
     Served(Message),
     Rejected {
-        cool_down: Option<TenthMillis>,
+        retry_after: Option<TenthMillis>,
     },
     Failed,
     /// Upstreams turn it away for what the client sent.
-    Unfit,
+    ClientError,
     /// Its id is that of another request that is being served, or was a moment ago; it is refused.
-    Duplicate,
+    DuplicateId,
 }
 
 impl Answer {
     /// For the log.
-    pub fn name(&self) -> &'static str {
+    pub fn log_name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "settled",
             Answer::Rejected { .. } => "declined",
             Answer::Failed => "reversed",
-            Answer::Unfit => "unfit",
-            Answer::Duplicate => "its id is taken",
+            Answer::ClientError => "unfit",
+            Answer::DuplicateId => "its id is taken",
         }
     }
 }
--- a/crates/pondlb-server/src/protocol/client.rs
+++ b/crates/pondlb-server/src/protocol/client.rs
@@ -7,34 +7,34 @@
 
 use super::answer::Answer;
 
-pub struct ClientSide {
+pub struct RequestReader {
     reader: MessageReader,
 }
 
 /// The numbers of the classes that requests may name.
-pub type Classes = HashMap<String, u32>;
+pub type ClassIndexes = HashMap<String, u32>;
 
 /// What a client wants.
 #[derive(Debug)]
-pub enum Wish {
-    Health,
-    Request { arrival: Arrival, message: Message },
+pub enum RequestKind {
+    HealthCheck,
+    Forward { arrival: Arrival, message: Message },
 }
 
 #[derive(Debug)]
-pub struct Asked {
-    pub wish: Wish,
+pub struct ClientRequest {
+    pub kind: RequestKind,
     /// The client will send nothing more on this connection.
-    pub last: bool,
+    pub is_last: bool,
 }
 
-impl Asked {
-    pub fn is_health(&self) -> bool {
-        matches!(self.wish, Wish::Health)
+impl ClientRequest {
+    pub fn is_health_check(&self) -> bool {
+        matches!(self.kind, RequestKind::HealthCheck)
     }
 }
 
-pub const LEAVE_TO_SEND: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 const HEALTH: &str = "/_health";
 const METHODS: [&str; 5] = ["GET", "POST", "PUT", "PATCH", "DELETE"];
@@ -43,13 +43,13 @@
 /// No wait or cost is longer, so that sums of times can't overflow.
 const MOST_NS: u64 = 3_600_000_000_000;
 
-impl ClientSide {
+impl RequestReader {
     pub fn new() -> Self {
-        ClientSide { reader: MessageReader::new(request_framing) }
+        RequestReader { reader: MessageReader::new(request_framing) }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut MessageReader {
+    pub fn message_reader(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
@@ -57,8 +57,8 @@
         self.reader.is_idle()
     }
 
-    /// Whether the client waits for [`LEAVE_TO_SEND`] before it sends a body; true once a request.
-    pub fn wants_leave_to_send(&mut self) -> bool {
+    /// Whether the client waits for [`CONTINUE_RESPONSE`] before it sends a body; true once a request.
+    pub fn take_expect_continue(&mut self) -> bool {
         self.reader.pending_head_mut().is_some_and(|head| {
             let asked = head.list_contains("Expect", "100-continue");
             head.fields.retain(|(name, _)| !(asked && name.eq_ignore_ascii_case("Expect")));
@@ -67,12 +67,12 @@
     }
 
     /// The next request, which must be of one of these classes.
-    pub fn next(&mut self, classes: &Classes) -> Result<Option<Asked>, MessageError> {
+    pub fn next_request(&mut self, classes: &ClassIndexes) -> Result<Option<ClientRequest>, MessageError> {
         self.reader.next_message()?.map(|message| asked(message, classes)).transpose()
     }
 }
 
-fn asked(message: Message, classes: &Classes) -> Result<Asked, MessageError> {
+fn asked(message: Message, classes: &ClassIndexes) -> Result<ClientRequest, MessageError> {
     let head = &message.head;
     let mut parts = head.start_line.split(' ');
     let (Some(method), Some(target), Some(version), None) =
@@ -94,7 +94,7 @@
     }
     let last = version == "HTTP/1.0" || head.list_contains("Connection", "close");
     if method == "GET" && target.split('?').next() == Some(HEALTH) {
-        return Ok(Asked { wish: Wish::Health, last });
+        return Ok(ClientRequest { kind: RequestKind::HealthCheck, is_last: last });
     }
     let id = head.single_value("Req-Id")?.ok_or(MessageError::Malformed("no Req-Id"))?;
     if id.is_empty() || id.len() > MOST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -118,7 +118,7 @@
         is_retry: head.single_value("Req-Retry")? == Some("1"),
         is_write: method != "GET",
     };
-    Ok(Asked { wish: Wish::Request { arrival, message }, last })
+    Ok(ClientRequest { kind: RequestKind::Forward { arrival, message }, is_last: last })
 }
 
 /// `480m` or `1500u`, in nanoseconds.
@@ -147,7 +147,7 @@
 /// Fields of an upstream's answer that were meant for the balancer, or that it writes anew.
 const NOT_PASSED: [&str; 3] = ["Content-Length", "Srv-Load", "Srv-Declined"];
 
-pub fn write_answer(answer: &Answer, last: bool) -> Vec<u8> {
+pub fn encode_answer(answer: &Answer, last: bool) -> Vec<u8> {
     match answer {
         Answer::Served(Message { head, body }) => {
             let mut out = b"HTTP/1.1 200 OK\r\n".to_vec();
@@ -155,24 +155,24 @@
             write_end(&mut out, body, last);
             out
         }
-        Answer::Rejected { cool_down } => {
+        Answer::Rejected { retry_after: cool_down } => {
             let advice = cool_down.map(|span| format!("Retry-After: {}\r\n", seconds(span)));
             plain("503 Service Unavailable", &advice.unwrap_or_default(), "declined", last)
         }
         Answer::Failed => plain("502 Bad Gateway", "", "reversed", last),
-        Answer::Unfit => plain("400 Bad Request", "", "no upstream takes this request", last),
-        Answer::Duplicate => plain("409 Conflict", "", "this Req-Id is taken", true),
+        Answer::ClientError => plain("400 Bad Request", "", "no upstream takes this request", last),
+        Answer::DuplicateId => plain("409 Conflict", "", "this Req-Id is taken", true),
     }
 }
 
-pub fn write_health(ready: bool, last: bool) -> Vec<u8> {
+pub fn encode_health_response(ready: bool, last: bool) -> Vec<u8> {
     let (status, text) =
         if ready { ("200 OK", "ready") } else { ("503 Service Unavailable", "not ready to serve") };
     plain(status, "", text, last)
 }
 
 /// The answer to what is no request; the connection ends with it, since nobody knows where the next begins.
-pub fn write_fault(fault: MessageError) -> Vec<u8> {
+pub fn encode_error_response(fault: MessageError) -> Vec<u8> {
     let status = match fault {
         MessageError::Malformed(_) => "400 Bad Request",
         MessageError::HeadTooLong => "431 Request Header Fields Too Large",
@@ -187,7 +187,7 @@
     plain(status, &allow, &fault.to_string(), true)
 }
 
-pub fn write_too_slow() -> Vec<u8> {
+pub fn encode_timeout_response() -> Vec<u8> {
     plain("408 Request Timeout", "", "the request took too long to come", true)
 }
 
--- a/crates/pondlb-server/src/protocol/control.rs
+++ b/crates/pondlb-server/src/protocol/control.rs
@@ -8,7 +8,7 @@
 use super::discovery::UpstreamList;
 
 /// The upstreams that an update adds, changes or removes.
-pub fn upstreams_of(update: Update) -> UpstreamList {
+pub fn upstream_list(update: Update) -> UpstreamList {
     let mut upstreams = UpstreamList { version: update.version.revision, ..UpstreamList::default() };
     for Change { key, value, .. } in update.changes {
         let Some(value) = value else {
@@ -34,7 +34,7 @@
 }
 
 /// Takes what is no upstream out of an update.
-pub fn take_settings(update: &mut Update) -> SettingRecords {
+pub fn take_setting_records(update: &mut Update) -> SettingRecords {
     let mut settings = SettingRecords::default();
     let changes = std::mem::take(&mut update.changes);
     for change in changes {
--- a/crates/pondlb-server/src/protocol/discovery.rs
+++ b/crates/pondlb-server/src/protocol/discovery.rs
@@ -13,7 +13,7 @@
     #[serde(rename = "rev")]
     pub version: u64,
     #[serde(rename = "all")]
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub targets: Vec<Target>,
     /// Names of upstreams that are gone, from control servers only.
     #[serde(skip)]
@@ -39,53 +39,63 @@
     }
 }
 
-/// Asks for the whole list, or for what is newer than a version, for which discovery may wait so long.
-pub fn write_call(host: SocketAddr, newer: Option<(u64, u128)>) -> Vec<u8> {
-    let query = newer.map(|(from, hold_ms)| format!("?from={from}&hold_ms={hold_ms}")).unwrap_or_default();
+/// Asks discovery for the changes since a version of its list (long poll).
+#[derive(Clone, Copy, Debug)]
+pub struct ChangesQuery {
+    pub from_version: u64,
+    /// How long discovery may hold the request while there are no changes, in milliseconds.
+    pub hold_ms: u128,
+}
+
+/// Encodes a request for the whole list, or for the changes to it if there is a query.
+pub fn encode_list_request(host: SocketAddr, changes: Option<ChangesQuery>) -> Vec<u8> {
+    let query = changes
+        .map(|ChangesQuery { from_version, hold_ms }| format!("?from={from_version}&hold_ms={hold_ms}"))
+        .unwrap_or_default();
     format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-pub struct DiscoverySide {
+pub struct ListReader {
     reader: MessageReader,
     /// The length of the longest list that is taken, in bytes as they are sent.
-    longest_list: usize,
+    max_list_bytes: usize,
     received: usize,
 }
 
 /// Why an answer is no list, as the log is told.
 #[derive(Debug)]
-pub enum NoList {
+pub enum ListError {
     /// Discovery says that it gives none.
     Status(String),
-    Faulty(String),
+    Invalid(String),
     /// The list is longer than the limit; `size` is what is announced, else what has come by then.
     TooLong {
-        size: usize,
-        limit: usize,
+        size_bytes: usize,
+        limit_bytes: usize,
     },
 }
 
 /// An answer that could be read, and whether the connection may carry another call.
-pub struct Listed {
+pub struct ListResponse {
     pub list: UpstreamList,
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
-impl DiscoverySide {
+impl ListReader {
     pub fn new(longest_list: usize) -> Self {
         let framing = |head: &_| body_framing(head, BodyFraming::UntilClose);
         // The reader would refuse a list that is too long without saying how long it is.
         let reader = MessageReader::with_max_body(framing, usize::MAX);
-        DiscoverySide { reader, longest_list, received: 0 }
+        ListReader { reader, max_list_bytes: longest_list, received: 0 }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut MessageReader {
+    pub fn message_reader(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
     /// So many bytes have come into the input.
-    pub fn count_received(&mut self, count: usize) {
+    pub fn count_received_bytes(&mut self, count: usize) {
         self.received = self.received.saturating_add(count);
     }
 
@@ -94,29 +104,31 @@
         self.reader.is_idle()
     }
 
-    pub fn next(&mut self, closed: bool) -> Result<Option<Listed>, NoList> {
-        let message =
-            self.reader.next_message().map_err(|fault: MessageError| NoList::Faulty(fault.to_string()))?;
+    pub fn next_list(&mut self, closed: bool) -> Result<Option<ListResponse>, ListError> {
+        let message = self
+            .reader
+            .next_message()
+            .map_err(|fault: MessageError| ListError::Invalid(fault.to_string()))?;
         if message.is_none() {
             self.check_length()?;
         }
         let message = if closed { message.or_else(|| self.reader.finish()) } else { message };
         let Some(message) = message else { return Ok(None) };
         if !is_list(&message.head) {
-            return Err(NoList::Status(format!("discovery answers {:?}", message.head.start_line)));
+            return Err(ListError::Status(format!("discovery answers {:?}", message.head.start_line)));
         }
         let keep = !closed && self.reader.is_idle() && !message.head.list_contains("Connection", "close");
-        let list = UpstreamList::decode(&message.body).map_err(NoList::Faulty)?;
+        let list = UpstreamList::decode(&message.body).map_err(ListError::Invalid)?;
         // Which of the two is true nobody can say. Among changes the later one is.
-        match list.named_twice().filter(|_| list.whole) {
-            Some(upstream) => Err(NoList::Faulty(format!("{upstream} is listed twice"))),
-            None => Ok(Some(Listed { list, keep })),
+        match list.named_twice().filter(|_| list.is_snapshot) {
+            Some(upstream) => Err(ListError::Invalid(format!("{upstream} is listed twice"))),
+            None => Ok(Some(ListResponse { list, keep_alive: keep })),
         }
     }
 
     /// Whether the answer that is coming may still be taken.
-    fn check_length(&mut self) -> Result<(), NoList> {
-        let (received, limit) = (self.received, self.longest_list);
+    fn check_length(&mut self) -> Result<(), ListError> {
+        let (received, limit) = (self.received, self.max_list_bytes);
         let Some(head) = self.reader.pending_head_mut() else { return Ok(()) };
         let announced = head.single_value("Content-Length").ok().flatten();
         let size = match announced {
@@ -127,8 +139,8 @@
             return Ok(());
         }
         match is_list(head) {
-            true => Err(NoList::TooLong { size, limit }),
-            false => Err(NoList::Faulty(MessageError::BodyTooLong.to_string())),
+            true => Err(ListError::TooLong { size_bytes: size, limit_bytes: limit }),
+            false => Err(ListError::Invalid(MessageError::BodyTooLong.to_string())),
         }
     }
 }
--- a/crates/pondlb-server/src/protocol/mod.rs
+++ b/crates/pondlb-server/src/protocol/mod.rs
@@ -11,4 +11,4 @@
 
 /// Answers may be longer than requests: upstreams were seen to give some of 400 KB. What says it is longer than this is
 /// no answer, and would never end.
-pub const MOST_ANSWER: usize = 1024 * 1024;
+pub const MAX_RESPONSE_BODY_BYTES: usize = 1024 * 1024;
--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -7,9 +7,9 @@
 use pondlb_http::{DEFAULT_MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, MessageReader};
 
 use super::answer::Answer;
-use super::client::{Classes, ClientSide, Wish, write_answer, write_fault};
-use super::discovery::{DiscoverySide, NoList, UpstreamList, write_call};
-use super::upstream::{UpstreamSide, write_attempt};
+use super::client::{ClassIndexes, RequestKind, RequestReader, encode_answer, encode_error_response};
+use super::discovery::{ChangesQuery, ListError, ListReader, UpstreamList, encode_list_request};
+use super::upstream::{ResponseReader, encode_attempt};
 
 /// The three sides alike: something that is fed bytes and tells what it made of them.
 trait Side {
@@ -20,27 +20,28 @@
     fn made(&mut self, closed: bool) -> Result<Option<String>, String>;
 }
 
-impl Side for ClientSide {
+impl Side for RequestReader {
     fn input(&mut self) -> &mut MessageReader {
-        self.input()
+        self.message_reader()
     }
 
     fn made(&mut self, _: bool) -> Result<Option<String>, String> {
-        let asked = match self.next(&Classes::from([("browse".into(), 0), ("order".into(), 1)])) {
+        let asked = match self.next_request(&ClassIndexes::from([("browse".into(), 0), ("order".into(), 1)]))
+        {
             Ok(None) => return Ok(None),
             Ok(Some(asked)) => asked,
             Err(fault) => {
-                let bytes = write_fault(fault);
+                let bytes = encode_error_response(fault);
                 let text = String::from_utf8_lossy(&bytes);
                 let (first, rest) = text.split_once("\r\n").unwrap_or_default();
                 assert!(rest.contains("Connection: close"), "{rest}");
                 return Err(format!("{first}: {}", rest.split("\r\n\r\n").last().unwrap_or_default()));
             }
         };
-        let last = if asked.last { ", the last" } else { "" };
-        Ok(Some(match asked.wish {
-            Wish::Health => format!("health{last}"),
-            Wish::Request { arrival: a, message: r } => format!(
+        let last = if asked.is_last { ", the last" } else { "" };
+        Ok(Some(match asked.kind {
+            RequestKind::HealthCheck => format!("health{last}"),
+            RequestKind::Forward { arrival: a, message: r } => format!(
                 "{} scheme {} left {} cost {:?} repeat {} write {}: {:?} {}{last}",
                 a.request,
                 a.class,
@@ -55,50 +56,52 @@
     }
 }
 
-impl Side for UpstreamSide {
+impl Side for ResponseReader {
     fn input(&mut self) -> &mut MessageReader {
-        self.input()
+        self.message_reader()
     }
 
     fn made(&mut self, closed: bool) -> Result<Option<String>, String> {
-        let answered = self.next(closed).map_err(|fault| fault.to_string())?;
+        let answered = self.next_response(closed).map_err(|fault| fault.to_string())?;
         Ok(answered.map(|a| {
-            let keep = if a.keep { "keep" } else { "close" };
+            let keep = if a.keep_alive { "keep" } else { "close" };
             let load = match (a.load.in_flight, a.load.service_time) {
                 (None, None) => String::new(),
                 load => format!(" {load:?}"),
             };
-            let reply = match a.reply {
+            let reply = match a.final_answer {
                 Some(Answer::Served(reply)) => shown(&reply.body),
-                reply => reply.map_or("-", |answer| answer.name()).into(),
+                reply => reply.map_or("-", |answer| answer.log_name()).into(),
             };
             format!("{:?} {reply} {keep}{load}", a.outcome)
         }))
     }
 }
 
-fn discovery_side() -> DiscoverySide {
-    DiscoverySide::new(LONGEST_LIST)
+fn discovery_side() -> ListReader {
+    ListReader::new(LONGEST_LIST)
 }
 
 const LONGEST_LIST: usize = 1 << 20;
 
-impl Side for DiscoverySide {
+impl Side for ListReader {
     fn input(&mut self) -> &mut MessageReader {
-        self.input()
+        self.message_reader()
     }
 
     fn count_received(&mut self, count: usize) {
-        self.count_received(count);
+        self.count_received_bytes(count);
     }
 
     fn made(&mut self, closed: bool) -> Result<Option<String>, String> {
-        let listed = self.next(closed).map_err(|why| match why {
-            NoList::Status(why) | NoList::Faulty(why) => why,
-            NoList::TooLong { size, limit } => format!("{size} bytes are more than {limit}"),
+        let listed = self.next_list(closed).map_err(|why| match why {
+            ListError::Status(why) | ListError::Invalid(why) => why,
+            ListError::TooLong { size_bytes: size, limit_bytes: limit } => {
+                format!("{size} bytes are more than {limit}")
+            }
         })?;
         Ok(listed.map(|l| {
-            let whole = if l.list.whole { "whole" } else { "changes" };
+            let whole = if l.list.is_snapshot { "whole" } else { "changes" };
             let states: Vec<_> =
                 l.list.targets.iter().map(|t| format!("{} {:?}", t.upstream, t.stage)).collect();
             format!("{whole} {} {states:?}", l.list.version)
@@ -179,7 +182,7 @@
         health
         a1 scheme 1 left 4800 cost None repeat false write true: "POST /api HTTP/1.1" "", the last
     "#]]
-    .assert_eq(&cut(ClientSide::new, bytes.as_bytes(), true));
+    .assert_eq(&cut(RequestReader::new, bytes.as_bytes(), true));
 }
 
 #[test]
@@ -230,7 +233,7 @@
         ("POST /api HTTP/1.1", format!("{FIELDS}Transfer-Encoding: chunked\r\n"), &long),
         ("POST /api HTTP/1.1", format!("{FIELDS}Long: {long}\r\n"), ""),
     ] {
-        made += &cut(ClientSide::new, format!("{head}\r\n{fields}\r\n{body}").as_bytes(), true);
+        made += &cut(RequestReader::new, format!("{head}\r\n{fields}\r\n{body}").as_bytes(), true);
     }
     expect![[r#"
         HTTP/1.1 400 Bad Request: this is no HTTP
@@ -294,12 +297,12 @@
         let chunk = format!("8000\r\n{body}\r\n");
         let rest = if more == 0 { "0\r\n\r\n".into() } else { format!("{more}\r\nx\r\n0\r\n\r\n") };
         let head = format!("POST / HTTP/1.1\r\n{FIELDS}Transfer-Encoding: chunked\r\n\r\n");
-        expect.assert_eq(&cut(ClientSide::new, format!("{head}{chunk}{chunk}{rest}").as_bytes(), true));
+        expect.assert_eq(&cut(RequestReader::new, format!("{head}{chunk}{chunk}{rest}").as_bytes(), true));
     }
 }
 
 fn answer_traces(answers: &[&str], close: bool, expect: Expect) {
-    let made: String = answers.iter().map(|a| cut(UpstreamSide::new, a.as_bytes(), close)).collect();
+    let made: String = answers.iter().map(|a| cut(ResponseReader::new, a.as_bytes(), close)).collect();
     expect.assert_eq(&made);
 }
 
@@ -355,7 +358,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
     ] {
         for end in 0..answer.len() {
-            let made = fed(UpstreamSide::new(), &answer.as_bytes()[..end], 7, true);
+            let made = fed(ResponseReader::new(), &answer.as_bytes()[..end], 7, true);
             assert_eq!(made, "", "{:?}", &answer[..end]);
         }
     }
@@ -363,22 +366,22 @@
 
 #[test]
 fn what_follows_an_answer_is_nobodys_answer() {
-    let mut side = UpstreamSide::new();
+    let mut side = ResponseReader::new();
     let bytes =
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho";
-    side.input().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes);
-    side.input().mark_filled(bytes.len());
+    side.message_reader().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes);
+    side.message_reader().mark_filled(bytes.len());
     expect![[r#"Ok(Some("Ok \"hi\" close"))"#]].assert_eq(&format!("{:?}", side.made(false)));
 }
 
 fn request(bytes: &str) -> Message {
-    let mut side = ClientSide::new();
-    side.input().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes.as_bytes());
-    side.input().mark_filled(bytes.len());
-    match side.next(&Classes::from([("browse".into(), 0), ("order".into(), 1)])) {
-        Ok(Some(asked)) => match asked.wish {
-            Wish::Request { message, .. } => message,
-            Wish::Health => panic!("a txn is wanted"),
+    let mut side = RequestReader::new();
+    side.message_reader().spare_capacity_mut()[..bytes.len()].copy_from_slice(bytes.as_bytes());
+    side.message_reader().mark_filled(bytes.len());
+    match side.next_request(&ClassIndexes::from([("browse".into(), 0), ("order".into(), 1)])) {
+        Ok(Some(asked)) => match asked.kind {
+            RequestKind::Forward { message, .. } => message,
+            RequestKind::HealthCheck => panic!("a txn is wanted"),
         },
         other => panic!("{other:?}"),
     }
@@ -390,8 +393,8 @@
         "Transfer-Encoding: chunked\r\nConnection: x-mine, req-id\r\nX-Mine: 1\r\nX-Other: 2\r\nTE: x\r\n";
     let sent = request(&format!("POST /api?a=b HTTP/1.1\r\n{FIELDS}{chunked}\r\n2\r\nhi\r\n0\r\n\r\n"));
     let got = request(&format!("GET /api HTTP/1.0\r\n{FIELDS}\r\n"));
-    let mut made = String::from_utf8(write_attempt("a1", &sent, 1234)).unwrap() + "\n";
-    made += &String::from_utf8(write_attempt("a1", &got, 0)).unwrap();
+    let mut made = String::from_utf8(encode_attempt("a1", &sent, 1234)).unwrap() + "\n";
+    made += &String::from_utf8(encode_attempt("a1", &got, 0)).unwrap();
     expect![[r#"
         POST /api?a=b HTTP/1.1
         Host: b
@@ -421,16 +424,16 @@
         ("Transfer-Encoding".into(), b"chunked".into()),
     ];
     let served = Answer::Served(Message { head, body: b"hello".into() });
-    let rejected = Answer::Rejected { cool_down: Some(12_345) };
+    let rejected = Answer::Rejected { retry_after: Some(12_345) };
     let mut made = String::new();
     for (answer, last) in [
         (served, false),
         (rejected, false),
-        (Answer::Rejected { cool_down: None }, true),
+        (Answer::Rejected { retry_after: None }, true),
         (Answer::Failed, false),
-        (Answer::Duplicate, true),
+        (Answer::DuplicateId, true),
     ] {
-        made += &(String::from_utf8(write_answer(&answer, last)).unwrap() + "\n\n");
+        made += &(String::from_utf8(encode_answer(&answer, last)).unwrap() + "\n\n");
     }
     expect![[r#"
         HTTP/1.1 200 OK
@@ -494,7 +497,10 @@
     made += &cut(discovery_side, busy.as_bytes(), true);
     made += &format!("{:?}\n", UpstreamList::decode(b"[]").map(|_| ()));
     let host = ([127, 0, 0, 1], 8500).into();
-    for call in [write_call(host, None), write_call(host, Some((41, 20_000)))] {
+    for call in [
+        encode_list_request(host, None),
+        encode_list_request(host, Some(ChangesQuery { from_version: 41, hold_ms: 20_000 })),
+    ] {
         made += &String::from_utf8(call).unwrap().replace('\r', "");
     }
     expect![[r#"
@@ -541,13 +547,13 @@
             }
         }
         let piece = rng.generate_range(1..50);
-        for line in fed(ClientSide::new(), &bytes, piece, true).lines() {
+        for line in fed(RequestReader::new(), &bytes, piece, true).lines() {
             let ours = ["a1 scheme 1", "HTTP/1.1 4"].iter().any(|start| line.starts_with(start));
             // A changed byte may well leave a good request of another name.
             assert!(ours || line.contains(" scheme "), "{line}");
             refused += usize::from(line.starts_with("HTTP/1.1 4"));
         }
-        fed(UpstreamSide::new(), &bytes, piece, true);
+        fed(ResponseReader::new(), &bytes, piece, true);
         fed(discovery_side(), &bytes, piece, true);
     }
     assert!(refused > 1000, "{refused}");
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -5,14 +5,14 @@
 use pondlb::{Load, Outcome, TenthMillis};
 use pondlb_http::{Head, Message, MessageError, MessageReader, response_framing};
 
-use super::MOST_ANSWER;
+use super::MAX_RESPONSE_BODY_BYTES;
 use super::answer::Answer;
 
 /// Fields that are written anew for each attempt.
 const REWRITTEN: [&str; 4] = ["Content-Length", "Req-Id", "Req-Deadline", "Expect"];
 
 /// The id goes with it whatever the client's `Connection` says: without it nobody could tell a repeat.
-pub fn write_attempt(id: &str, message: &Message, wait: TenthMillis) -> Vec<u8> {
+pub fn encode_attempt(id: &str, message: &Message, wait: TenthMillis) -> Vec<u8> {
     let mut out = Vec::with_capacity(512 + message.body.len());
     out.extend_from_slice(message.head.start_line.rsplit_once(' ').map_or("", |(line, _)| line).as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
@@ -27,42 +27,42 @@
 }
 
 /// Asks an upstream for its load. No client's request stands behind it, so it has no id.
-pub fn write_probe(path: &str, address: SocketAddr) -> Vec<u8> {
+pub fn encode_probe(path: &str, address: SocketAddr) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes()
 }
 
 /// Reads the one answer that is due on a connection.
-pub struct UpstreamSide {
+pub struct ResponseReader {
     reader: MessageReader,
 }
 
 #[derive(Debug)]
-pub struct Answered {
+pub struct UpstreamResponse {
     pub outcome: Outcome,
     /// What the client is to get, where this is final.
-    pub reply: Option<Answer>,
+    pub final_answer: Option<Answer>,
     pub load: Load,
     /// The connection may carry another attempt.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
-impl UpstreamSide {
+impl ResponseReader {
     pub fn new() -> Self {
-        UpstreamSide { reader: MessageReader::with_max_body(response_framing, MOST_ANSWER) }
+        ResponseReader { reader: MessageReader::with_max_body(response_framing, MAX_RESPONSE_BODY_BYTES) }
     }
 
     /// Where what is read goes.
-    pub fn input(&mut self) -> &mut MessageReader {
+    pub fn message_reader(&mut self) -> &mut MessageReader {
         &mut self.reader
     }
 
     /// Whether a part of an answer has come.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_partial_response(&self) -> bool {
         !self.reader.is_idle()
     }
 
     /// The whole answer, once it has come; `closed` when the upstream has ended its side.
-    pub fn next(&mut self, closed: bool) -> Result<Option<Answered>, MessageError> {
+    pub fn next_response(&mut self, closed: bool) -> Result<Option<UpstreamResponse>, MessageError> {
         loop {
             let message = match self.reader.next_message()? {
                 None if closed => self.reader.finish(),
@@ -83,7 +83,7 @@
     }
 }
 
-fn answered(message: Message, status: u16, clean: bool) -> Answered {
+fn answered(message: Message, status: u16, clean: bool) -> UpstreamResponse {
     let head = &message.head;
     let rejected = head.single_value("Srv-Declined") == Ok(Some("1"));
     let outcome = match status {
@@ -99,10 +99,10 @@
     let load = load(head);
     let reply = match outcome {
         Outcome::Ok => Some(Answer::Served(message)),
-        Outcome::Moot => Some(Answer::Unfit),
+        Outcome::Moot => Some(Answer::ClientError),
         _ => None,
     };
-    Answered { outcome, reply, load, keep }
+    UpstreamResponse { outcome, final_answer: reply, load, keep_alive: keep }
 }
 
 /// A report is a hint: what can't be read of it is left out.
--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -11,7 +11,7 @@
 use crate::protocol::discovery::UpstreamList;
 
 /// Where the upstreams are, and which numbers stand for the names that discovery uses.
-pub struct Directory {
+pub struct UpstreamDirectory {
     zones: Numbers,
     kinds: Numbers,
     places: BTreeMap<UpstreamId, Place>,
@@ -88,10 +88,10 @@
     }
 }
 
-impl Directory {
+impl UpstreamDirectory {
     pub fn new(names: Names, unix_start: i64) -> Self {
         let (zones, kinds) = (Numbers::new(names.zones), Numbers::new(names.kinds));
-        Directory { zones, kinds, places: BTreeMap::new(), unix_start }
+        UpstreamDirectory { zones, kinds, places: BTreeMap::new(), unix_start }
     }
 
     pub fn address(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
@@ -103,13 +103,13 @@
     }
 
     /// How many upstreams are known, and names of zones and kinds that the settings don't know.
-    pub fn sizes(&self) -> [usize; 3] {
+    pub fn counts(&self) -> [usize; 3] {
         [self.places.len(), self.zones.others.len(), self.kinds.others.len()]
     }
 
-    pub fn read(&mut self, list: UpstreamList) -> Rc<[UpstreamEntry]> {
-        log::debug!("list {} whole {} names {}", list.version, list.whole, list.targets.len());
-        if list.whole {
+    pub fn apply_list(&mut self, list: UpstreamList) -> Rc<[UpstreamEntry]> {
+        log::debug!("list {} whole {} names {}", list.version, list.is_snapshot, list.targets.len());
+        if list.is_snapshot {
             let named: BTreeSet<&str> = list.targets.iter().map(|t| &*t.upstream).collect();
             let missing = self.places.keys().filter(|upstream| !named.contains(&***upstream));
             let missing: Vec<UpstreamId> = missing.cloned().collect();
--- a/crates/pondlb-server/src/routing/notes.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -1,5 +1,6 @@
-//! What connections tell the exchange (`Note`), and what it tells them to send (`Order`).
+//! What connections report to the router (`RouterEvent`), and the attempts it sends (`OutgoingAttempt`).
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -10,74 +11,85 @@
 use crate::protocol::answer::Answer;
 use crate::protocol::discovery::UpstreamList;
 
-/// The attempts of a request are numbered as they leave.
-pub type AttemptId = (RequestId, u32);
+/// Identifies an attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    pub request: RequestId,
+    /// The attempts of a request are numbered from 0 in the order in which they are sent.
+    pub number: u32,
+}
+
+impl fmt::Display for AttemptId {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{} {}", self.request, self.number)
+    }
+}
 
 /// An attempt to be carried out.
 #[derive(Debug)]
-pub struct Order {
+pub struct OutgoingAttempt {
     pub id: AttemptId,
     pub upstream: UpstreamId,
     pub address: SocketAddr,
     pub message: Rc<Message>,
     /// When the balancer stops waiting for it.
-    pub until: TenthMillis,
+    pub deadline: TenthMillis,
     /// Written later than this it would be met as new, though an earlier one may have run.
-    pub begin_by: Option<TenthMillis>,
+    pub send_by: Option<TenthMillis>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct End {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// What the client is to get, where this is final.
-    pub reply: Option<Answer>,
+    pub final_answer: Option<Answer>,
     pub load: Load,
 }
 
-impl From<Outcome> for End {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        End { outcome, reply: None, load: Load::default() }
+        AttemptResult { outcome, final_answer: None, load: Load::default() }
     }
 }
 
 /// What connections and timers let the exchange know.
-pub enum Note {
-    Arrived {
+pub enum RouterEvent {
+    RequestArrived {
         arrival: Arrival,
         message: Message,
-        answer: oneshot::Sender<Answer>,
+        answer_sender: oneshot::Sender<Answer>,
     },
-    Left {
+    ClientDisconnected {
         request: RequestId,
     },
-    Ended {
+    AttemptEnded {
         attempt: AttemptId,
-        end: End,
+        result: AttemptResult,
     },
-    Probed {
+    ProbeEnded {
         upstream: UpstreamId,
         outcome: Outcome,
-        took: TenthMillis,
+        duration: TenthMillis,
         load: Load,
     },
-    Listed(UpstreamList),
+    ListReceived(UpstreamList),
     /// Control servers have changed upstreams.
-    Changed {
+    UpstreamsChanged {
         upstreams: UpstreamList,
         /// The first whole state is in force with it.
-        completes: bool,
+        completes_snapshot: bool,
         /// To be told once they are in force.
-        applied: oneshot::Sender<()>,
+        applied_sender: oneshot::Sender<()>,
     },
     /// The list was right at that time, or nobody could reach discovery then.
-    ListCurrent {
+    ListConfirmed {
         at: TenthMillis,
     },
     /// Discovery turned a call away, or what came is no list.
-    ListLost,
+    ListRefused,
     /// Nobody answered a call to discovery, or its connection broke.
-    ListUnreached,
+    DiscoveryUnreachable,
     /// A watch was not answered though its wait is over.
-    WatchSilent,
+    WatchTimedOut,
 }
--- a/crates/pondlb-server/src/routing/mod.rs
+++ b/crates/pondlb-server/src/routing/mod.rs
@@ -2,13 +2,13 @@
 //! Nothing here decides, and nothing here knows a socket.
 
 mod directory;
-mod exchange;
+mod events;
 mod metrics;
-mod notes;
+mod router;
 #[cfg(test)]
 mod tests;
 
-pub use directory::Directory;
-pub use exchange::{Carrier, Exchange, Hold};
+pub use directory::UpstreamDirectory;
+pub use events::{AttemptId, AttemptResult, OutgoingAttempt, RouterEvent};
 pub use metrics::Metrics;
-pub use notes::{AttemptId, End, Note, Order};
+pub use router::{AttemptHandle, Router, Transport};
--- a/crates/pondlb-server/src/routing/exchange.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -13,25 +13,25 @@
 use tokio::sync::oneshot;
 
 use super::metrics::count;
-use super::{AttemptId, Directory, End, Metrics, Note, Order};
+use super::{AttemptId, AttemptResult, Metrics, OutgoingAttempt, RouterEvent, UpstreamDirectory};
 use crate::protocol::answer::Answer;
 use crate::protocol::discovery::UpstreamList;
 
 /// Does the work that the decisions ask for.
-pub trait Carrier {
+pub trait Transport {
     /// Kept while an attempt is out; dropping it gives the attempt up and closes its connection.
-    type Hold: Hold;
+    type Handle: AttemptHandle;
 
-    fn send(&mut self, order: Order) -> Self::Hold;
-    /// Asks for an upstream's load; `Note::Probed` says what came of it.
+    fn send_attempt(&mut self, order: OutgoingAttempt) -> Self::Handle;
+    /// Asks for an upstream's load; `RouterEvent::ProbeEnded` says what came of it.
     fn probe(&mut self, upstream: UpstreamId, address: SocketAddr);
-    fn watch(&mut self, on: bool);
-    fn fetch(&mut self);
-    fn close_idle(&mut self, upstream: &str);
+    fn watch_list(&mut self, on: bool);
+    fn fetch_list(&mut self);
+    fn close_idle_connections(&mut self, upstream: &str);
 }
 
 /// What is kept of an attempt that is out.
-pub trait Hold {
+pub trait AttemptHandle {
     /// Whether its last byte has been written, so that it may run; until then it can be taken back.
     fn is_written(&self) -> bool;
 }
@@ -82,13 +82,13 @@
 }
 
 /// Owns the balancer, and the requests and attempts that it has decided on.
-pub struct Exchange<C: Carrier> {
+pub struct Router<C: Transport> {
     balancer: Balancer,
-    directory: Directory,
+    directory: UpstreamDirectory,
     carrier: C,
     requests: BTreeMap<RequestId, Request>,
     ids: Ids,
-    outs: BTreeMap<AttemptId, Out<C::Hold>>,
+    outs: BTreeMap<AttemptId, Out<C::Handle>>,
     /// Requests that nobody waits for any more, since the last look at what of theirs can be taken back.
     closed: Vec<RequestId>,
     events: Vec<Event>,
@@ -103,9 +103,9 @@
     metrics: Metrics,
 }
 
-impl<C: Carrier> Exchange<C> {
-    pub fn new(balancer: Balancer, directory: Directory, carrier: C, slack: TenthMillis) -> Self {
-        Exchange {
+impl<C: Transport> Router<C> {
+    pub fn new(balancer: Balancer, directory: UpstreamDirectory, carrier: C, slack: TenthMillis) -> Self {
+        Router {
             balancer,
             directory,
             carrier,
@@ -124,19 +124,19 @@
     }
 
     /// Control servers are followed: nothing is known until their first whole state is in force.
-    pub fn await_state(&mut self) {
+    pub fn await_first_snapshot(&mut self) {
         self.awaits_state = true;
     }
 
     /// Puts checked changes of the terms in force; requests that are open end under what they came with.
-    pub fn change(&mut self, now: TenthMillis, changes: &[ConfigChange]) {
+    pub fn apply_config_changes(&mut self, now: TenthMillis, changes: &[ConfigChange]) {
         self.balancer.apply(changes);
         self.decide(now);
     }
 
     /// The list as it was before the start, and when it was right; none where nobody confirms lists.
-    pub fn remember(&mut self, now: TenthMillis, known: UpstreamList, current_at: Option<TenthMillis>) {
-        let entries = self.directory.read(known);
+    pub fn restore_list(&mut self, now: TenthMillis, known: UpstreamList, current_at: Option<TenthMillis>) {
+        let entries = self.directory.apply_list(known);
         self.events.extend(current_at.map(|at| Event::ListConfirmed { at }));
         self.events.push(Event::ListUpdate(ListUpdate::Restored(entries)));
         self.decide(now);
@@ -144,7 +144,7 @@
 
     /// Hands over all that happened until now, and carries out what is decided. At `wake_at` it wants to be
     /// called again, with nothing new.
-    pub fn step(&mut self, now: TenthMillis, notes: impl IntoIterator<Item = Note>) {
+    pub fn handle_events(&mut self, now: TenthMillis, notes: impl IntoIterator<Item = RouterEvent>) {
         for note in notes {
             self.read(now, note);
         }
@@ -166,18 +166,18 @@
     /// where work that has begun may not be cancelled.
     fn take_back(&mut self, now: TenthMillis, which: impl Fn(&RequestId, &UpstreamId) -> bool) {
         let chosen =
-            self.outs.iter().filter(|((id, _), out)| !out.hold.is_written() && which(id, &out.upstream));
+            self.outs.iter().filter(|(id, out)| !out.hold.is_written() && which(&id.request, &out.upstream));
         let chosen: Vec<AttemptId> = chosen.map(|(attempt, _)| attempt.clone()).collect();
         chosen.into_iter().for_each(|attempt| self.ended(now, attempt, Outcome::Moot.into()));
     }
 
-    pub fn wake_at(&self) -> Option<TenthMillis> {
+    pub fn next_wakeup(&self) -> Option<TenthMillis> {
         let end = self.end.filter(|_| !self.outs.is_empty());
         self.wake.map(|(at, _)| at).into_iter().chain(end).min()
     }
 
     /// From then on nothing is sent, and what is out is given up, for the decisions to answer.
-    pub fn end_by(&mut self, at: TenthMillis) {
+    pub fn set_shutdown_deadline(&mut self, at: TenthMillis) {
         self.end = Some(at);
         for request in self.requests.values_mut() {
             request.deadline = request.deadline.min(at);
@@ -185,12 +185,12 @@
     }
 
     /// Without any, whatever came would have to be rejected.
-    pub fn knows_upstreams(&self) -> bool {
+    pub fn has_upstreams(&self) -> bool {
         !self.directory.is_empty() && !self.awaits_state
     }
 
     /// Discovery is at another address from now on.
-    pub fn move_discovery(&mut self, now: TenthMillis) {
+    pub fn discovery_address_changed(&mut self, now: TenthMillis) {
         self.events.push(Event::DiscoveryAddressChanged);
         self.decide(now);
     }
@@ -206,16 +206,16 @@
     }
 
     /// Requests that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_count(&self) -> usize {
         self.requests.values().filter(|request| request.answer.is_some()).count()
     }
 
-    fn read(&mut self, now: TenthMillis, note: Note) {
+    fn read(&mut self, now: TenthMillis, note: RouterEvent) {
         match note {
-            Note::Arrived { mut arrival, message, answer } => {
+            RouterEvent::RequestArrived { mut arrival, message, answer_sender: answer } => {
                 // Two requests of one id would get each other's answers, and a second one's effect is no repeat.
                 if self.requests.contains_key(&arrival.request) || !self.ids.take(now, &arrival.request) {
-                    let _gone = answer.send(Answer::Duplicate);
+                    let _gone = answer.send(Answer::DuplicateId);
                     return;
                 }
                 let hint = arrival.cost.unwrap_or_default();
@@ -230,38 +230,42 @@
                 self.metrics.requests += 1;
                 self.events.push(Event::RequestArrived(arrival));
             }
-            Note::Left { request } => {
+            RouterEvent::ClientDisconnected { request } => {
                 if self.close(&request).is_some() {
                     self.metrics.left += 1;
                     self.events.push(Event::ClientDisconnected { request });
                 }
             }
-            Note::Ended { attempt, end } => self.ended(now, attempt, end),
-            Note::Probed { upstream, outcome, took, load } => {
+            RouterEvent::AttemptEnded { attempt, result: end } => self.ended(now, attempt, end),
+            RouterEvent::ProbeEnded { upstream, outcome, duration: took, load } => {
                 log::debug!("{upstream} is asked: {outcome:?} after {took}{load}");
                 self.events.push(Event::ProbeEnded { upstream, outcome, duration: took, load });
             }
-            Note::ListCurrent { at } => self.events.push(Event::ListConfirmed { at }),
-            Note::Listed(list) => {
+            RouterEvent::ListConfirmed { at } => self.events.push(Event::ListConfirmed { at }),
+            RouterEvent::ListReceived(list) => {
                 self.metrics.lists += 1;
                 self.listed(now, list);
             }
-            Note::Changed { upstreams, completes, applied } => {
+            RouterEvent::UpstreamsChanged {
+                upstreams,
+                completes_snapshot: completes,
+                applied_sender: applied,
+            } => {
                 if !(upstreams.targets.is_empty() && upstreams.removed.is_empty()) {
                     self.listed(now, upstreams);
                 }
                 self.awaits_state &= !completes;
                 let _ended = applied.send(());
             }
-            Note::ListLost => {
+            RouterEvent::ListRefused => {
                 self.metrics.calls_refused += 1;
                 self.events.push(Event::ListUpdate(ListUpdate::Refused));
             }
-            Note::ListUnreached => {
+            RouterEvent::DiscoveryUnreachable => {
                 self.metrics.calls_unreached += 1;
                 self.events.push(Event::ListUpdate(ListUpdate::Unreachable));
             }
-            Note::WatchSilent => {
+            RouterEvent::WatchTimedOut => {
                 self.metrics.calls_silent += 1;
                 self.events.push(Event::ListUpdate(ListUpdate::WatchTimedOut));
             }
@@ -269,8 +273,8 @@
     }
 
     fn listed(&mut self, now: TenthMillis, list: UpstreamList) {
-        let whole = list.whole;
-        let entries = self.directory.read(list);
+        let whole = list.is_snapshot;
+        let entries = self.directory.apply_list(list);
         // Nothing is begun at who is announced as leaving, or is not named any more.
         self.take_back(now, |_, up| {
             let named = entries.iter().find(|entry| entry.upstream == *up);
@@ -278,22 +282,23 @@
         });
         let listing = if whole { ListUpdate::Snapshot } else { ListUpdate::Changes };
         self.events.push(Event::ListUpdate(listing(entries)));
-        let (listed, known) = (self.directory.sizes(), self.balancer.tracked_counts());
+        let (listed, known) = (self.directory.counts(), self.balancer.tracked_counts());
         log::debug!(
             "listed upstreams, other zones, kinds: {listed:?}; upstreams, zones, kinds, txns: {known}"
         );
     }
 
     /// An attempt given up may have ended at the same moment: only the first of the two ends counts.
-    fn ended(&mut self, now: TenthMillis, (id, attempt): AttemptId, end: End) {
-        let Some(out) = self.outs.remove(&(id.clone(), attempt)) else { return };
+    fn ended(&mut self, now: TenthMillis, id: AttemptId, end: AttemptResult) {
+        let Some(out) = self.outs.remove(&id) else { return };
+        let AttemptId { request: id, number: attempt } = id;
         if let Some(request) = self.requests.get_mut(&id) {
             request.out -= 1;
         }
         let (up, outcome, took, load) = (&out.upstream, end.outcome, now - out.order, end.load);
         log::debug!("{id} {attempt} ends at {up}: {outcome:?} after {took}{load}");
         count(&mut self.metrics.outcomes, outcome);
-        if let Some(reply) = end.reply {
+        if let Some(reply) = end.final_answer {
             self.metrics.served += u64::from(self.give(&id, reply));
         }
         let answered = self.requests.get(&id).is_none_or(|request| request.answer.is_none());
@@ -331,21 +336,21 @@
             }
             Action::Cancel { request, attempt } => {
                 // Dropping what is kept of it closes its connection.
-                self.ended(now, (request, attempt), Outcome::Cancelled.into());
+                self.ended(now, AttemptId { request, number: attempt }, Outcome::Cancelled.into());
             }
             Action::Reject { request, retry_after: cool_down, reason: why } => {
                 log::debug!("{request} is rejected: {why:?}");
                 count(&mut self.metrics.rejected, why);
-                self.give(&request, Answer::Rejected { cool_down });
+                self.give(&request, Answer::Rejected { retry_after: cool_down });
             }
             Action::Fail { request, reason: why } => {
                 log::debug!("{request} fails: {why:?}");
                 count(&mut self.metrics.failed, why);
                 self.give(&request, Answer::Failed);
             }
-            Action::WatchList { enabled: on } => self.carrier.watch(on),
-            Action::FetchList => self.carrier.fetch(),
-            Action::CloseIdleConnections { upstream } => self.carrier.close_idle(&upstream),
+            Action::WatchList { enabled: on } => self.carrier.watch_list(on),
+            Action::FetchList => self.carrier.fetch_list(),
+            Action::CloseIdleConnections { upstream } => self.carrier.close_idle_connections(&upstream),
             Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
             Action::Log { text } => log::info!("{text}"),
             Action::Probe { upstream } => match self.directory.address(&upstream) {
@@ -380,9 +385,16 @@
                 self.metrics.attempts += 1;
                 let until = timeout.map_or(request.deadline, |span| request.deadline.min(now + span));
                 let (message, name) = (request.message.clone(), upstream.clone());
-                let id = (id.clone(), attempt);
-                let order = Order { id: id.clone(), upstream: name, address, message, until, begin_by };
-                let hold = self.carrier.send(order);
+                let id = AttemptId { request: id.clone(), number: attempt };
+                let order = OutgoingAttempt {
+                    id: id.clone(),
+                    upstream: name,
+                    address,
+                    message,
+                    deadline: until,
+                    send_by: begin_by,
+                };
+                let hold = self.carrier.send_attempt(order);
                 self.outs.insert(id, Out { order: now, upstream, hold });
                 return;
             }
@@ -402,7 +414,7 @@
     /// The first answer is final; a client that has left gets none. Whether it was this one.
     fn give(&mut self, id: &RequestId, answer: Answer) -> bool {
         let Some(waiting) = self.close(id) else { return false };
-        log::debug!("{id} is answered: {}", answer.name());
+        log::debug!("{id} is answered: {}", answer.log_name());
         waiting.send(answer).is_ok()
     }
 
--- a/crates/pondlb-server/src/routing/tests.rs
+++ b/crates/pondlb-server/src/routing/tests.rs
@@ -10,7 +10,10 @@
 use pondlb_terms::Names;
 use tokio::sync::oneshot::{self, Receiver};
 
-use super::{Carrier, Directory, End, Exchange, Hold, Note, Order};
+use super::{
+    AttemptHandle, AttemptId, AttemptResult, OutgoingAttempt, Router, RouterEvent, Transport,
+    UpstreamDirectory,
+};
 use crate::protocol::answer::Answer;
 use crate::protocol::discovery::UpstreamList;
 
@@ -21,7 +24,7 @@
 /// Says when it is dropped, as the connection of an attempt would close. That of an attempt to `dials` never comes up.
 struct Held(Trace, String, bool);
 
-impl Hold for Held {
+impl AttemptHandle for Held {
     fn is_written(&self) -> bool {
         !self.2
     }
@@ -33,13 +36,13 @@
     }
 }
 
-impl Carrier for Scribe {
-    type Hold = Held;
+impl Transport for Scribe {
+    type Handle = Held;
 
-    fn send(&mut self, order: Order) -> Held {
-        let what = format!("{} {}", order.id.0, order.id.1);
+    fn send_attempt(&mut self, order: OutgoingAttempt) -> Held {
+        let what = order.id.to_string();
         *self.0.borrow_mut() +=
-            &format!("  post {what} to {} at {} until {}\n", order.upstream, order.address, order.until);
+            &format!("  post {what} to {} at {} until {}\n", order.upstream, order.address, order.deadline);
         Held(self.0.clone(), what, &*order.upstream == "dials")
     }
 
@@ -47,21 +50,21 @@
         *self.0.borrow_mut() += &format!("  probe {upstream}\n");
     }
 
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         *self.0.borrow_mut() += &format!("  watch {on}\n");
     }
 
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         *self.0.borrow_mut() += "  fetch\n";
     }
 
-    fn close_idle(&mut self, upstream: &str) {
+    fn close_idle_connections(&mut self, upstream: &str) {
         *self.0.borrow_mut() += &format!("  close idle {upstream}\n");
     }
 }
 
 struct Play {
-    exchange: Exchange<Scribe>,
+    exchange: Router<Scribe>,
     trace: Trace,
     waiting: Vec<(&'static str, Receiver<Answer>)>,
 }
@@ -100,9 +103,9 @@
     fn new(targets: &[(&str, u16, &str, &str, u64)]) -> Play {
         let (terms, names) = terms();
         let trace = Trace::default();
-        let directory = Directory::new(names, 0);
-        let mut exchange = Exchange::new(Balancer::new(terms, 7), directory, Scribe(trace.clone()), 50);
-        exchange.remember(0, list(true, targets), None);
+        let directory = UpstreamDirectory::new(names, 0);
+        let mut exchange = Router::new(Balancer::new(terms, 7), directory, Scribe(trace.clone()), 50);
+        exchange.restore_list(0, list(true, targets), None);
         Play { exchange, trace, waiting: Vec::new() }
     }
 
@@ -121,39 +124,55 @@
             is_write: false,
         };
         self.waiting.push((name, answered));
-        self.step(now, Some(Note::Arrived { arrival, message: Message { head, body: Vec::new() }, answer }));
+        self.step(
+            now,
+            Some(RouterEvent::RequestArrived {
+                arrival,
+                message: Message { head, body: Vec::new() },
+                answer_sender: answer,
+            }),
+        );
     }
 
     fn end(&mut self, now: TenthMillis, name: &str, attempt: u32, outcome: Outcome) {
-        let mut end = End::from(outcome);
+        let mut end = AttemptResult::from(outcome);
         if outcome == Outcome::Ok {
             let head = Head { start_line: "HTTP/1.1 200 OK".into(), fields: Vec::new() };
-            end.reply = Some(Answer::Served(Message { head, body: format!("of {name} {attempt}").into() }));
+            end.final_answer =
+                Some(Answer::Served(Message { head, body: format!("of {name} {attempt}").into() }));
         }
-        self.step(now, Some(Note::Ended { attempt: (name.into(), attempt), end }));
+        self.step(
+            now,
+            Some(RouterEvent::AttemptEnded {
+                attempt: AttemptId { request: name.into(), number: attempt },
+                result: end,
+            }),
+        );
     }
 
-    fn step(&mut self, now: TenthMillis, note: Option<Note>) {
+    fn step(&mut self, now: TenthMillis, note: Option<RouterEvent>) {
         let heading = match &note {
             None => "wake".into(),
-            Some(Note::Arrived { arrival, .. }) => format!("{} comes", arrival.request),
-            Some(Note::Left { request }) => format!("{request} leaves"),
-            Some(Note::Ended { attempt, end }) => {
-                format!("{} {} ends: {:?}", attempt.0, attempt.1, end.outcome)
+            Some(RouterEvent::RequestArrived { arrival, .. }) => format!("{} comes", arrival.request),
+            Some(RouterEvent::ClientDisconnected { request }) => format!("{request} leaves"),
+            Some(RouterEvent::AttemptEnded { attempt, result: end }) => {
+                format!("{attempt} ends: {:?}", end.outcome)
             }
-            Some(Note::Probed { upstream, outcome, .. }) => format!("{upstream} is asked: {outcome:?}"),
-            Some(Note::Listed(_)) => "listed".into(),
-            Some(Note::Changed { upstreams, completes, .. }) => {
+            Some(RouterEvent::ProbeEnded { upstream, outcome, .. }) => {
+                format!("{upstream} is asked: {outcome:?}")
+            }
+            Some(RouterEvent::ListReceived(_)) => "listed".into(),
+            Some(RouterEvent::UpstreamsChanged { upstreams, completes_snapshot: completes, .. }) => {
                 let counts = [upstreams.targets.len(), upstreams.removed.len()];
                 format!("changed, removed: {counts:?}, completes: {completes}")
             }
-            Some(Note::ListCurrent { at }) => format!("list current at {at}"),
-            Some(Note::ListLost) => "list lost".into(),
-            Some(Note::ListUnreached) => "list unreached".into(),
-            Some(Note::WatchSilent) => "watch silent".into(),
+            Some(RouterEvent::ListConfirmed { at }) => format!("list current at {at}"),
+            Some(RouterEvent::ListRefused) => "list lost".into(),
+            Some(RouterEvent::DiscoveryUnreachable) => "list unreached".into(),
+            Some(RouterEvent::WatchTimedOut) => "watch silent".into(),
         };
         *self.trace.borrow_mut() += &format!("{now}: {heading}\n");
-        self.exchange.step(now, note);
+        self.exchange.handle_events(now, note);
         self.waiting.retain_mut(|(name, answered)| {
             let line = match answered.try_recv() {
                 Ok(Answer::Served(reply)) => format!("settled {}", String::from_utf8_lossy(&reply.body)),
@@ -168,14 +187,14 @@
 
     /// Wakes as it is asked for, until then.
     fn pass(&mut self, until: TenthMillis) {
-        while let Some(at) = self.exchange.wake_at().filter(|at| *at <= until) {
+        while let Some(at) = self.exchange.next_wakeup().filter(|at| *at <= until) {
             self.step(at, None);
         }
     }
 
     /// What is owed at the end stands in the trace too.
     fn ends_with(self, expect: Expect) {
-        let owed = self.exchange.owed();
+        let owed = self.exchange.unanswered_count();
         drop(self.exchange);
         expect.assert_eq(&format!("{}owed: {owed}\n", self.trace.borrow()));
     }
@@ -235,9 +254,9 @@
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_let_go() {
     let mut play = Play::new(ONE);
     play.arrive(10, "t1", NON_IDEMPOTENT, 20_000);
-    play.step(20, Some(Note::Left { request: "t1".into() }));
+    play.step(20, Some(RouterEvent::ClientDisconnected { request: "t1".into() }));
     play.end(500, "t1", 0, Outcome::Ok);
-    play.step(510, Some(Note::Left { request: "t1".into() }));
+    play.step(510, Some(RouterEvent::ClientDisconnected { request: "t1".into() }));
     play.ends_with(expect![[r#"
         10: t1 comes
           post t1 0 to u1 at 127.0.0.1:1 until 19960
@@ -278,7 +297,7 @@
         10: t1 comes
           post t1 0 to u1 at 127.0.0.1:1 until 19960
         20: t1 comes
-          answer to t1: Duplicate
+          answer to t1: DuplicateId
         30: t1 0 ends: Ok
           t1 0 is let go
           answer to t1: settled of t1 0
@@ -301,7 +320,7 @@
           t1 0 is let go
           answer to t1: settled of t1 0
         600: t1 comes
-          answer to t1: Duplicate
+          answer to t1: DuplicateId
         50010: t1 comes
           watch true
           post t1 0 to u1 at 127.0.0.1:1 until 69960
@@ -314,15 +333,25 @@
 fn what_an_upstream_turns_away_for_the_clients_fault_is_answered_and_goes_nowhere_else() {
     let mut play = Play::new(TWO);
     play.arrive(10, "t1", IDEMPOTENT, 20_000);
-    let end = End { outcome: Outcome::Moot, reply: Some(Answer::Unfit), load: Load::default() };
-    play.step(20, Some(Note::Ended { attempt: ("t1".into(), 0), end }));
+    let end = AttemptResult {
+        outcome: Outcome::Moot,
+        final_answer: Some(Answer::ClientError),
+        load: Load::default(),
+    };
+    play.step(
+        20,
+        Some(RouterEvent::AttemptEnded {
+            attempt: AttemptId { request: "t1".into(), number: 0 },
+            result: end,
+        }),
+    );
     play.pass(20_000);
     play.ends_with(expect![[r#"
         10: t1 comes
           post t1 0 to u2 at 127.0.0.1:2 until 19960
         20: t1 0 ends: Moot
           t1 0 is let go
-          answer to t1: Unfit
+          answer to t1: ClientError
         5010: wake
         10010: wake
         13357: wake
@@ -336,15 +365,15 @@
     let mut play = Play::new(ONE);
     play.arrive(10, "no-time", IDEMPOTENT, 50);
     play.pass(5000);
-    play.step(6000, Some(Note::Listed(list(false, &[("u1", 1, "a", "leaving", 0)]))));
+    play.step(6000, Some(RouterEvent::ListReceived(list(false, &[("u1", 1, "a", "leaving", 0)]))));
     play.arrive(6010, "no-upstream", IDEMPOTENT, 20_000);
     play.ends_with(expect![[r#"
         10: no-time comes
-          answer to no-time: Rejected { cool_down: None }
+          answer to no-time: Rejected { retry_after: None }
         11: wake
         6000: listed
         6010: no-upstream comes
-          answer to no-upstream: Rejected { cool_down: None }
+          answer to no-upstream: Rejected { retry_after: None }
         owed: 0
     "#]]);
 }
@@ -370,7 +399,7 @@
 fn when_the_program_ends_every_request_has_its_answer_by_then() {
     let mut play = Play::new(ONE);
     play.arrive(10, "t1", NON_IDEMPOTENT, 60_000);
-    play.exchange.end_by(5000);
+    play.exchange.set_shutdown_deadline(5000);
     play.arrive(1000, "t2", IDEMPOTENT, 60_000);
     play.pass(5000);
     play.arrive(5001, "t3", IDEMPOTENT, 60_000);
@@ -383,9 +412,9 @@
           t1 0 is let go
           t2 0 is let go
           answer to t1: Failed
-          answer to t2: Rejected { cool_down: None }
+          answer to t2: Rejected { retry_after: None }
         5001: t3 comes
-          answer to t3: Rejected { cool_down: None }
+          answer to t3: Rejected { retry_after: None }
         owed: 0
     "#]]);
 }
@@ -394,11 +423,11 @@
 fn lists_move_upstreams_and_lost_ones_are_asked_for_again() {
     let mut play = Play::new(ONE);
     play.pass(10_000);
-    play.step(10_010, Some(Note::ListLost));
+    play.step(10_010, Some(RouterEvent::ListRefused));
     play.pass(40_000);
-    play.step(40_010, Some(Note::Listed(list(false, &[("u1", 9, "a", "active", 0)]))));
+    play.step(40_010, Some(RouterEvent::ListReceived(list(false, &[("u1", 9, "a", "active", 0)]))));
     play.arrive(40_020, "t1", IDEMPOTENT, 20_000);
-    play.step(40_030, Some(Note::Listed(list(true, &[("u3", 3, "new", "active", 0)]))));
+    play.step(40_030, Some(RouterEvent::ListReceived(list(true, &[("u3", 3, "new", "active", 0)]))));
     play.arrive(40_040, "t2", IDEMPOTENT, 20_000);
     play.end(40_050, "t1", 0, Outcome::Ok);
     play.ends_with(expect![[r#"
@@ -421,9 +450,9 @@
 
 #[test]
 fn a_name_that_the_settings_do_not_know_is_not_taken_for_another() {
-    let mut directory = Directory::new(terms().1, -5000);
+    let mut directory = UpstreamDirectory::new(terms().1, -5000);
     let zones = [("u1", 1, "b", "active", 0), ("u2", 2, "new", "left", 600), ("u3", 3, "a", "leaving", 400)];
-    let entries = directory.read(list(false, &zones));
+    let entries = directory.apply_list(list(false, &zones));
     let lines = entries.iter().map(|e| {
         format!(
             "{} in zone {} of kind {}: {:?} since {:?}\n",
@@ -444,11 +473,14 @@
     play.arrive(10, "t1", IDEMPOTENT, 60_000);
     play.step(
         20,
-        Some(Note::Listed(list(false, &[("u1", 1, "a", "leaving", 0), ("u2", 2, "a", "leaving", 0)]))),
+        Some(RouterEvent::ListReceived(list(
+            false,
+            &[("u1", 1, "a", "leaving", 0), ("u2", 2, "a", "leaving", 0)],
+        ))),
     );
     play.arrive(30, "declined", IDEMPOTENT, 60_000);
     let replaced = [("u1", 1, "a", "left", 0), ("u2", 2, "a", "left", 0), ("u3", 1, "a", "active", 0)];
-    play.step(40, Some(Note::Listed(list(false, &replaced))));
+    play.step(40, Some(RouterEvent::ListReceived(list(false, &replaced))));
     play.arrive(50, "t2", IDEMPOTENT, 60_000);
     play.end(60, "t1", 0, Outcome::Ok);
     play.end(70, "t2", 0, Outcome::Ok);
@@ -457,7 +489,7 @@
           post t1 0 to u2 at 127.0.0.1:2 until 59960
         20: listed
         30: declined comes
-          answer to declined: Rejected { cool_down: None }
+          answer to declined: Rejected { retry_after: None }
         40: listed
         50: t2 comes
           post t2 0 to u3 at 127.0.0.1:1 until 60000
@@ -473,17 +505,17 @@
 
 #[test]
 fn what_left_and_names_nobody_has_any_more_are_forgotten_and_no_number_is_used_twice() {
-    let mut directory = Directory::new(terms().1, 0);
+    let mut directory = UpstreamDirectory::new(terms().1, 0);
     let (mut sizes, mut zones) = (Vec::new(), std::collections::BTreeSet::new());
     let mut last = String::new();
     for n in 0..2000 {
         let (id, zone) = (format!("s{n}"), format!("zone {n}"));
         let mut change = list(false, &[(&id, 4000, &zone, "active", 0), (&last, 4000, "a", "left", 0)]);
         change.targets[0].kind = format!("kind {n}");
-        zones.insert(directory.read(change)[0].zone);
+        zones.insert(directory.apply_list(change)[0].zone);
         last = id;
         if n == 200 || n == 1999 {
-            sizes.push(directory.sizes());
+            sizes.push(directory.counts());
         }
     }
     expect!["[1, 1, 1] at a tenth, [1, 1, 1] at the end, 2000 numbers for as many zones"].assert_eq(
@@ -498,16 +530,16 @@
 
 #[test]
 fn a_long_list_that_names_each_twice_leaves_one_place_for_each_and_a_short_one_forgets_the_rest() {
-    let mut directory = Directory::new(terms().1, 0);
+    let mut directory = UpstreamDirectory::new(terms().1, 0);
     let ids: Vec<String> = (0..10_000).map(|n| format!("s{}", n % 5000)).collect();
     let targets: Vec<_> = ids.iter().map(|id| (&**id, 4000, "a", "active", 0)).collect();
-    let entries = directory.read(list(true, &targets));
-    let known = directory.sizes();
-    directory.read(list(true, &targets[..30]));
+    let entries = directory.apply_list(list(true, &targets));
+    let known = directory.counts();
+    directory.apply_list(list(true, &targets[..30]));
     expect!["10000 entries, [5000, 0, 0] known, then [30, 0, 0]"].assert_eq(&format!(
         "{} entries, {known:?} known, then {:?}",
         entries.len(),
-        directory.sizes()
+        directory.counts()
     ));
 }
 
@@ -515,17 +547,24 @@
 #[test]
 fn records_are_in_force_once_told_and_the_first_whole_state_makes_ready() {
     let mut play = Play::new(ONE);
-    play.exchange.await_state();
+    play.exchange.await_first_snapshot();
     let change = |play: &mut Play, now, targets, removed: &[&str], completes| {
         let mut upstreams = list(false, targets);
         upstreams.removed = removed.iter().map(ToString::to_string).collect();
         let (applied, mut is_applied) = oneshot::channel();
-        play.step(now, Some(Note::Changed { upstreams, completes, applied }));
+        play.step(
+            now,
+            Some(RouterEvent::UpstreamsChanged {
+                upstreams,
+                completes_snapshot: completes,
+                applied_sender: applied,
+            }),
+        );
         assert!(is_applied.try_recv().is_ok());
-        play.exchange.knows_upstreams()
+        play.exchange.has_upstreams()
     };
     let two = &TWO[1..];
-    let mut ready = vec![play.exchange.knows_upstreams()];
+    let mut ready = vec![play.exchange.has_upstreams()];
     ready.push(change(&mut play, 10, two, &["unknown"], false));
     ready.push(change(&mut play, 20, &[], &["u1"], true));
     play.arrive(30, "a", 0, 1000);
@@ -553,10 +592,10 @@
     play.end(20, "a", 0, Outcome::Ok);
     play.arrive(30, "b", NON_IDEMPOTENT, 1000);
     play.end(40, "b", 0, Outcome::Reset);
-    play.step(50, Some(Note::Listed(list(false, &[("u1", 1, "a", "left", 0)]))));
+    play.step(50, Some(RouterEvent::ListReceived(list(false, &[("u1", 1, "a", "left", 0)]))));
     play.arrive(60, "c", IDEMPOTENT, 1000);
-    play.step(70, Some(Note::ListLost));
-    play.step(80, Some(Note::ListUnreached));
-    play.step(90, Some(Note::WatchSilent));
+    play.step(70, Some(RouterEvent::ListRefused));
+    play.step(80, Some(RouterEvent::DiscoveryUnreachable));
+    play.step(90, Some(RouterEvent::WatchTimedOut));
     expect!["requests=3 served=1 left=0 rejected.NoUpstream=1 failed.AttemptsFailed=1 attempts=2 ended.Ok=1 ended.Reset=1 lists=1 calls_refused=1 calls_unreached=1 calls_silent=1"].assert_eq(&play.exchange.metrics().to_string());
 }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -18,9 +18,10 @@
 use super::stream::{Waiting, closed, feed, read, waiting, write_all};
 use crate::protocol::answer::Answer;
 use crate::protocol::client::{
-    Asked, Classes, ClientSide, LEAVE_TO_SEND, Wish, write_answer, write_fault, write_health, write_too_slow,
+    CONTINUE_RESPONSE, ClassIndexes, ClientRequest, RequestKind, RequestReader, encode_answer,
+    encode_error_response, encode_health_response, encode_timeout_response,
 };
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// A connection is closed after so long without a request, and sooner if there never was one: hundreds that
 /// say nothing would take all the places.
@@ -40,14 +41,14 @@
 /// What all client connections share.
 pub struct Front {
     pub connections: Rc<ConnectionTable>,
-    pub classes: RefCell<Classes>,
+    pub classes: RefCell<ClassIndexes>,
     pub cool_down: Cell<Option<TenthMillis>>,
-    pub notes: mpsc::UnboundedSender<Note>,
+    pub notes: mpsc::UnboundedSender<RouterEvent>,
     pub phase: watch::Receiver<Phase>,
 }
 
 enum Next {
-    Asked(Asked),
+    Asked(ClientRequest),
     Fault(MessageError),
     TooSlow,
     Overloaded,
@@ -70,7 +71,7 @@
 
     pub async fn serve(self: Rc<Self>, stream: TcpStream, place: Place) {
         let _unset = stream.set_nodelay(true);
-        let mut side = ClientSide::new();
+        let mut side = RequestReader::new();
         let mut asked_before = false;
         loop {
             let next = self.next(&stream, &mut side, &place, asked_before).await;
@@ -82,11 +83,11 @@
                 },
                 Next::Fault(fault) => {
                     log::debug!("a request is refused: {fault}");
-                    (write_fault(fault), true)
+                    (encode_error_response(fault), true)
                 }
-                Next::TooSlow => (write_too_slow(), true),
+                Next::TooSlow => (encode_timeout_response(), true),
                 Next::Overloaded => {
-                    (write_answer(&Answer::Rejected { cool_down: self.cool_down.get() }, true), true)
+                    (encode_answer(&Answer::Rejected { retry_after: self.cool_down.get() }, true), true)
                 }
                 Next::Ends => return linger(&stream, place).await,
                 Next::Over => return,
@@ -104,16 +105,16 @@
     async fn next(
         &self,
         stream: &TcpStream,
-        side: &mut ClientSide,
+        side: &mut RequestReader,
         place: &Place,
         asked_before: bool,
     ) -> Next {
         let mut phase = self.phase.clone();
         let mut slow = None;
         loop {
-            match side.next(&self.classes.borrow()) {
+            match side.next_request(&self.classes.borrow()) {
                 Ok(Some(_)) if self.connections.turns_away() => return Next::Overloaded,
-                Ok(Some(asked)) if !asked.is_health() && place.is_excess() => return Next::Overloaded,
+                Ok(Some(asked)) if !asked.is_health_check() && place.is_excess() => return Next::Overloaded,
                 Ok(Some(asked)) => return Next::Asked(asked),
                 Ok(None) => {}
                 Err(fault) => return Next::Fault(fault),
@@ -122,7 +123,7 @@
             if !side.is_idle() && (place.is_excess() || self.connections.turns_away()) {
                 return Next::Overloaded;
             }
-            if side.wants_leave_to_send() && write_all(stream, LEAVE_TO_SEND).await.is_err() {
+            if side.take_expect_continue() && write_all(stream, CONTINUE_RESPONSE).await.is_err() {
                 return Next::Over;
             }
             let count = if side.is_idle() {
@@ -130,7 +131,7 @@
                 let most = if asked_before { IDLE } else { NEVER_ASKED };
                 tokio::select! {
                     biased;
-                    count = feed(stream, side.input()) => count,
+                    count = feed(stream, side.message_reader()) => count,
                     _ = closing(&mut phase, &idle, most) => {
                         // What has come meanwhile is served; the client would else have to send it again.
                         match waiting(stream) {
@@ -147,7 +148,7 @@
                 let (until, slow) = slow.get_or_insert_with(|| (Instant::now() + SLOWEST, place.slow()));
                 tokio::select! {
                     biased;
-                    count = feed(stream, side.input()) => count,
+                    count = feed(stream, side.message_reader()) => count,
                     () = slow.evicted() => return Next::TooSlow,
                     () = sleep_until(*until) => return Next::TooSlow,
                 }
@@ -162,28 +163,28 @@
     async fn answer(
         &self,
         stream: &TcpStream,
-        side: &mut ClientSide,
-        asked: Asked,
+        side: &mut RequestReader,
+        asked: ClientRequest,
     ) -> Option<(Vec<u8>, bool)> {
         let overrun = Cell::new(false);
         let last = |asked_last| asked_last || overrun.get() || *self.phase.borrow() >= Phase::Closing;
-        let (arrival, message) = match asked.wish {
-            Wish::Health => {
+        let (arrival, message) = match asked.kind {
+            RequestKind::HealthCheck => {
                 let ready = *self.phase.borrow() == Phase::Serving;
-                let last = last(asked.last);
-                return Some((write_health(ready, last), last));
+                let last = last(asked.is_last);
+                return Some((encode_health_response(ready, last), last));
             }
-            Wish::Request { arrival, message } => (arrival, message),
+            RequestKind::Forward { arrival, message } => (arrival, message),
         };
         let request = arrival.request.clone();
         let (answer, mut answered) = oneshot::channel();
-        self.notes.send(Note::Arrived { arrival, message, answer }).ok()?;
+        self.notes.send(RouterEvent::RequestArrived { arrival, message, answer_sender: answer }).ok()?;
         tokio::select! {
             biased;
             answer = &mut answered => {
                 let answer = answer.ok()?;
-                let last = last(asked.last) || answer == Answer::Duplicate;
-                Some((write_answer(&answer, last), last))
+                let last = last(asked.is_last) || answer == Answer::DuplicateId;
+                Some((encode_answer(&answer, last), last))
             }
             () = leaves(stream, side, &overrun) => {
                 self.left(request);
@@ -194,7 +195,7 @@
 
     fn left(&self, request: RequestId) {
         // The exchange outlives every connection but at the very end, when nothing is owed.
-        let _ended = self.notes.send(Note::Left { request });
+        let _ended = self.notes.send(RouterEvent::ClientDisconnected { request });
     }
 }
 
@@ -208,9 +209,9 @@
 
 /// Returns when the client closes its side. What it sends ahead meanwhile is kept up to the buffer's bound, beyond
 /// which nothing ahead is served: it is read on and thrown away, since a close comes behind all that was sent.
-async fn leaves(stream: &TcpStream, side: &mut ClientSide, overrun: &Cell<bool>) {
-    while !side.input().spare_capacity_mut().is_empty() {
-        if !matches!(feed(stream, side.input()).await, Ok(1..)) {
+async fn leaves(stream: &TcpStream, side: &mut RequestReader, overrun: &Cell<bool>) {
+    while !side.message_reader().spare_capacity_mut().is_empty() {
+        if !matches!(feed(stream, side.message_reader()).await, Ok(1..)) {
             return;
         }
     }
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::protocol::control::{SettingRecords, take_settings, upstreams_of};
+use crate::protocol::control::{SettingRecords, take_setting_records, upstream_list};
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// So many records change in one turn of the loop: requests are served between.
 const SLICE: usize = 64;
@@ -51,7 +51,7 @@
 }
 
 /// Follows the control servers for as long as the program runs.
-pub async fn follow_control(control: Control, follower: Follower, notes: mpsc::UnboundedSender<Note>) {
+pub async fn follow_control(control: Control, follower: Follower, notes: mpsc::UnboundedSender<RouterEvent>) {
     let Follower { name, number, seed, state_bytes, settings, status, remembered } = follower;
     let limits = Limits { total_bytes: state_bytes, ..Limits::default() };
     let mut following = Following::new(control.servers, &name, number);
@@ -65,7 +65,7 @@
 }
 
 struct Consumer {
-    notes: mpsc::UnboundedSender<Note>,
+    notes: mpsc::UnboundedSender<RouterEvent>,
     settings: mpsc::UnboundedSender<SettingsUpdate>,
     remembered: BTreeSet<String>,
     logged: Option<Instant>,
@@ -85,7 +85,7 @@
 
     /// None where the program ends.
     async fn put_in_force(&mut self, mut update: Update) -> Option<()> {
-        self.put_settings_in_force(take_settings(&mut update)).await?;
+        self.put_settings_in_force(take_setting_records(&mut update)).await?;
         let unlisted = self.unlisted(&update);
         for names in unlisted.chunks(SLICE) {
             let removed = UpstreamList { removed: names.to_vec(), ..UpstreamList::default() };
@@ -94,7 +94,7 @@
         let is_whole = update.whole;
         for slice in update.slices(SLICE) {
             let completes = is_whole && !slice.more;
-            self.put_upstreams_in_force(upstreams_of(slice), completes).await?;
+            self.put_upstreams_in_force(upstream_list(slice), completes).await?;
         }
         Some(())
     }
@@ -124,7 +124,13 @@
 
     async fn put_upstreams_in_force(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
         let (applied, is_applied) = oneshot::channel();
-        self.notes.send(Note::Changed { upstreams, completes, applied }).ok()?;
+        self.notes
+            .send(RouterEvent::UpstreamsChanged {
+                upstreams,
+                completes_snapshot: completes,
+                applied_sender: applied,
+            })
+            .ok()?;
         is_applied.await.ok()
     }
 
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::fault::Fault;
-use crate::protocol::discovery::{DiscoverySide, NoList, UpstreamList, write_call};
+use crate::protocol::discovery::{ChangesQuery, ListError, ListReader, UpstreamList, encode_list_request};
 use crate::transport::stream::{Waiting, feed, waiting, write_all};
 
 /// An agent that is back must be reached again at once, and a lost handshake is repeated only after a second.
@@ -41,7 +41,10 @@
     /// Takes the connection, so that a call that is given up closes it.
     pub async fn exchange(&mut self, newer: Newer) -> Result<UpstreamList, Fault> {
         let called = Instant::now();
-        let call = write_call(self.address, newer.map(|(from, hold)| (from, hold.as_millis())));
+        let call = encode_list_request(
+            self.address,
+            newer.map(|(from_version, hold)| ChangesQuery { from_version, hold_ms: hold.as_millis() }),
+        );
         if let Some(kept) = self.kept.take().filter(|kept| waiting(kept) == Waiting::Nothing) {
             match self.converse(kept, &call).await {
                 // Closed as the call came: that is nobody's refusal, and a call may always be made again.
@@ -59,17 +62,17 @@
     async fn converse(&mut self, stream: TcpStream, call: &[u8]) -> Result<UpstreamList, Fault> {
         let called = Instant::now();
         write_all(&stream, call).await.map_err(|error| Fault::of_break("the call", &error))?;
-        let mut side = DiscoverySide::new(self.longest_list);
+        let mut side = ListReader::new(self.longest_list);
         loop {
-            let read = feed(&stream, side.input()).await;
+            let read = feed(&stream, side.message_reader()).await;
             let count = read.map_err(|error| Fault::of_break("the answer", &error))?;
-            side.count_received(count);
+            side.count_received_bytes(count);
             if count == 0 && side.is_idle() {
                 return Err(Fault::Broken("the call is not answered".into()));
             }
-            match side.next(count == 0).map_err(|why| self.fault(why, called))? {
+            match side.next_list(count == 0).map_err(|why| self.fault(why, called))? {
                 Some(listed) => {
-                    self.kept = listed.keep.then_some(stream);
+                    self.kept = listed.keep_alive.then_some(stream);
                     return Ok(listed.list);
                 }
                 None if count == 0 => return Err(Fault::Refused("the answer is cut short".into())),
@@ -78,12 +81,12 @@
         }
     }
 
-    fn fault(&self, why: NoList, called: Instant) -> Fault {
+    fn fault(&self, why: ListError, called: Instant) -> Fault {
         match why {
             // Who has waited so long was not turned away for the others' sake: nobody is there.
-            NoList::Status(line) if called.elapsed() > self.row * 2 / 3 => Fault::Absent(line),
-            NoList::Status(why) | NoList::Faulty(why) => Fault::Refused(why),
-            NoList::TooLong { size, limit } => Fault::TooLong { size, limit },
+            ListError::Status(line) if called.elapsed() > self.row * 2 / 3 => Fault::Absent(line),
+            ListError::Status(why) | ListError::Invalid(why) => Fault::Refused(why),
+            ListError::TooLong { size_bytes: size, limit_bytes: limit } => Fault::TooLong { size, limit },
         }
     }
 }
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -31,7 +31,7 @@
         self.unanswered = if is_unanswered { self.unanswered + 1 } else { 0 };
         match outcome {
             // It has waited for news until then.
-            Ok(list) if !list.whole && list.targets.is_empty() && called.elapsed() >= hold => {
+            Ok(list) if !list.is_snapshot && list.targets.is_empty() && called.elapsed() >= hold => {
                 Some(called + hold)
             }
             Ok(_) | Err(Fault::Absent(_)) => Some(called),
--- a/crates/pondlb-server/src/transport/discovery/fault.rs
+++ b/crates/pondlb-server/src/transport/discovery/fault.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// One reason is told once in so long, however often calls fail by it.
 const REPEATED: Duration = Duration::from_secs(5);
@@ -47,11 +47,11 @@
     }
 
     /// How the decisions hear of it.
-    pub fn note(&self) -> Note {
+    pub fn note(&self) -> RouterEvent {
         match self {
-            Fault::Silent => Note::WatchSilent,
-            Fault::Unconnected | Fault::Absent(_) | Fault::Broken(_) => Note::ListUnreached,
-            Fault::Refused(_) | Fault::TooLong { .. } => Note::ListLost,
+            Fault::Silent => RouterEvent::WatchTimedOut,
+            Fault::Unconnected | Fault::Absent(_) | Fault::Broken(_) => RouterEvent::DiscoveryUnreachable,
+            Fault::Refused(_) | Fault::TooLong { .. } => RouterEvent::ListRefused,
         }
     }
 
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -16,7 +16,7 @@
 use super::backoff::Backoff;
 use super::clock::Clock;
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ask {
@@ -67,7 +67,7 @@
     limit: ListLimit,
     clock: Clock,
     mut asks: mpsc::UnboundedReceiver<Ask>,
-    notes: mpsc::UnboundedSender<Note>,
+    notes: mpsc::UnboundedSender<RouterEvent>,
 ) {
     let mut caller = Caller {
         line: Line::new(address, limit.longest, patience.row),
@@ -107,7 +107,7 @@
     /// For lists that are too long.
     backoff: Backoff,
     clock: Clock,
-    notes: mpsc::UnboundedSender<Note>,
+    notes: mpsc::UnboundedSender<RouterEvent>,
     confirmation: Confirmation,
     fault_log: FaultLog,
     /// Calls made so far.
@@ -165,7 +165,7 @@
             Ok(list) => {
                 self.version = Some(list.version);
                 self.fault_log.reset();
-                (Note::Listed(list), true)
+                (RouterEvent::ListReceived(list), true)
             }
             Err(fault) => {
                 self.fault_log.tell(&fault);
@@ -173,7 +173,7 @@
             }
         };
         // After the list that it speaks of.
-        let current = called.current_at.map(|at| Note::ListCurrent { at: self.clock.at(at) });
+        let current = called.current_at.map(|at| RouterEvent::ListConfirmed { at: self.clock.at(at) });
         let mut is_heard = self.notes.send(note).is_ok();
         if let Some(current) = current {
             is_heard &= self.notes.send(current).is_ok();
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -21,7 +21,7 @@
 use super::memory::Memory;
 use super::pool::Pool;
 use super::stream::{read, write_all};
-use crate::routing::{Carrier, Note, Order};
+use crate::routing::{AttemptId, OutgoingAttempt, RouterEvent, Transport};
 
 const LONGEST_LIST: usize = 1 << 20;
 const MS: Duration = Duration::from_millis(1);
@@ -36,7 +36,7 @@
 struct StandIn {
     listener: TcpListener,
     asks: UnboundedSender<Ask>,
-    notes: UnboundedReceiver<Note>,
+    notes: UnboundedReceiver<RouterEvent>,
     trace: String,
 }
 
@@ -56,10 +56,10 @@
     }
 
     /// The next note but for those on how current the list is.
-    async fn next_note(&mut self) -> Note {
+    async fn next_note(&mut self) -> RouterEvent {
         loop {
             match self.notes.recv().await.unwrap() {
-                Note::ListCurrent { .. } => {}
+                RouterEvent::ListConfirmed { .. } => {}
                 note => return note,
             }
         }
@@ -68,10 +68,10 @@
     /// What comes of the call; one that came to nothing is asked for anew, as the decisions do.
     async fn noted(&mut self) {
         let note = match self.next_note().await {
-            Note::Listed(list) => format!("listed {}", list.version),
-            Note::ListLost => "lost".into(),
-            Note::ListUnreached => "unreached".into(),
-            Note::WatchSilent => "silent".into(),
+            RouterEvent::ListReceived(list) => format!("listed {}", list.version),
+            RouterEvent::ListRefused => "lost".into(),
+            RouterEvent::DiscoveryUnreachable => "unreached".into(),
+            RouterEvent::WatchTimedOut => "silent".into(),
             _ => "no such note".into(),
         };
         self.trace += &format!("{note}\n");
@@ -264,20 +264,22 @@
     let (pool, memory) = (Pool::new(4, limit, limit), Memory { most: usize::MAX });
     let mut attempts = Attempts { pool, clock, memory, notes, asks, probing: None };
     let head = Head { start_line: "POST / HTTP/1.1".into(), fields: Vec::new() };
-    let _task = attempts.send(Order {
-        id: ("a1".into(), 1),
+    let _task = attempts.send_attempt(OutgoingAttempt {
+        id: AttemptId { request: "a1".into(), number: 1 },
         upstream: "s1".into(),
         address,
         message: Rc::new(Message { head, body: Vec::new() }),
-        until: clock.now() + 20 * SECOND,
-        begin_by: Some(begin_by(&clock)),
+        deadline: clock.now() + 20 * SECOND,
+        send_by: Some(begin_by(&clock)),
     });
     let (stream, _) = upstream.accept().await.unwrap();
     let mut bytes = [0; 256];
     // Without an attempt on it the connection ends by itself.
     let count = read(&stream, &mut bytes).await.unwrap();
     reset(stream);
-    let Some(Note::Ended { end, .. }) = noted.recv().await else { panic!("an attempt ends") };
+    let Some(RouterEvent::AttemptEnded { result: end, .. }) = noted.recv().await else {
+        panic!("an attempt ends")
+    };
     let text = String::from_utf8_lossy(&bytes[..count]);
     (end.outcome, text.lines().next().unwrap_or_default().into())
 }
