--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -1,179 +1,243 @@
-//! Addresses of upstreams, and numbers for the names of zones and machine types.
+//! The addresses of the upstreams, and the indexes that stand for the names of zones and machine kinds.
 
 use std::collections::BTreeSet;
 use std::collections::btree_map::{self, BTreeMap};
+use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use pondlb::{Stage, TenthMillis, UpstreamEntry, UpstreamId};
-use pondlb_terms::Names;
+use pondlb_terms::{Names, Target};
 
+use super::labels::stage_label;
 use crate::protocol::discovery::UpstreamList;
 
-/// Where the upstreams are, and which numbers stand for the names that discovery uses.
+/// The address of each upstream. Translates lists of upstreams, in which zones and kinds have names, into entries for
+/// the balancer, in which they have indexes.
 pub struct UpstreamDirectory {
-    zones: Numbers,
-    kinds: Numbers,
-    places: BTreeMap<UpstreamId, Place>,
-    /// The balancer's time at the start of Unix time, which lies before the start of its own.
-    unix_start: i64,
+    zones: NameIndexes,
+    kinds: NameIndexes,
+    locations: BTreeMap<UpstreamId, Location>,
+    /// The Unix epoch on the balancer's clock, in tenths of a millisecond. Negative, since it is before that clock's
+    /// start.
+    unix_epoch: i64,
 }
 
-struct Place {
+/// Where an upstream is.
+struct Location {
     address: SocketAddr,
+    /// Index of its zone.
     zone: u32,
+    /// Index of its machine kind.
     kind: u32,
 }
 
-/// Which numbers stand for names.
-struct Numbers {
-    known: Vec<String>,
-    /// Those that the settings don't know, for as long as an upstream has them. No number is used twice, so
-    /// that one name is never taken for another.
-    others: BTreeMap<Rc<str>, u32>,
-    /// Names and counts of the upstreams that have these numbers.
-    uses: BTreeMap<u32, (Rc<str>, usize)>,
-    /// Numbers that may be of no upstream any more.
-    unused: Vec<u32>,
-    next: u32,
+/// The indexes that stand for names.
+struct NameIndexes {
+    /// The names in the settings; the index of each is its position.
+    configured: Vec<String>,
+    /// Names that are not in the settings, each for as long as an upstream has it. No index is used twice, so that one
+    /// name is never taken for another.
+    unconfigured: BTreeMap<Rc<str>, u32>,
+    /// How the indexes of unconfigured names are used.
+    uses: BTreeMap<u32, IndexUse>,
+    /// Indexes that may no longer be used by any upstream.
+    maybe_unused: Vec<u32>,
+    next_index: u32,
 }
 
-impl Numbers {
-    fn new(known: Vec<String>) -> Self {
-        let next = u32::try_from(known.len()).unwrap_or(u32::MAX);
-        let (others, uses) = (BTreeMap::new(), BTreeMap::new());
-        Numbers { known, others, uses, unused: Vec::new(), next }
+/// The use of an unconfigured name's index.
+struct IndexUse {
+    name: Rc<str>,
+    upstream_count: usize,
+}
+
+impl NameIndexes {
+    fn new(configured: Vec<String>) -> Self {
+        let next_index = u32::try_from(configured.len()).unwrap_or(u32::MAX);
+        NameIndexes {
+            configured,
+            unconfigured: BTreeMap::new(),
+            uses: BTreeMap::new(),
+            maybe_unused: Vec::new(),
+            next_index,
+        }
     }
 
-    /// The number of a name. One that is new counts as unused until an upstream has it.
-    fn of(&mut self, name: &str) -> u32 {
-        if let Some(at) = (0..).zip(&self.known).find_map(|(at, known)| (*known == name).then_some(at)) {
-            return at;
+    /// Returns the index of a name. A name that is new gets an index, which counts as unused until an upstream has it.
+    fn index_of(&mut self, name: &str) -> u32 {
+        if let Some((index, _)) = (0..).zip(&self.configured).find(|(_, configured)| *configured == name) {
+            return index;
         }
-        if let Some(number) = self.others.get(name) {
-            return *number;
+        if let Some(index) = self.unconfigured.get(name) {
+            return *index;
         }
-        let (number, name) = (self.next, Rc::<str>::from(name));
-        self.next = self.next.saturating_add(1);
-        self.others.insert(name.clone(), number);
-        self.uses.insert(number, (name, 0));
-        self.unused.push(number);
-        number
+        let (index, name) = (self.next_index, Rc::<str>::from(name));
+        self.next_index = self.next_index.saturating_add(1);
+        self.unconfigured.insert(name.clone(), index);
+        self.uses.insert(index, IndexUse { name, upstream_count: 0 });
+        self.maybe_unused.push(index);
+        index
     }
 
-    fn add_use(&mut self, number: u32) {
-        if let Some((_, uses)) = self.uses.get_mut(&number) {
-            *uses += 1;
+    fn add_use(&mut self, index: u32) {
+        if let Some(index_use) = self.uses.get_mut(&index) {
+            index_use.upstream_count += 1;
         }
     }
 
-    fn remove_use(&mut self, number: u32) {
-        let Some((_, uses)) = self.uses.get_mut(&number) else { return };
-        *uses = uses.saturating_sub(1);
-        if *uses == 0 {
-            self.unused.push(number);
+    fn remove_use(&mut self, index: u32) {
+        let Some(index_use) = self.uses.get_mut(&index) else { return };
+        index_use.upstream_count = index_use.upstream_count.saturating_sub(1);
+        if index_use.upstream_count == 0 {
+            self.maybe_unused.push(index);
         }
     }
 
-    /// Forgets the names that no upstream has.
-    fn forget_unused(&mut self) {
-        for number in self.unused.drain(..) {
-            if let btree_map::Entry::Occupied(used) = self.uses.entry(number)
-                && used.get().1 == 0
+    /// Removes the unconfigured names that no upstream has.
+    fn remove_unused(&mut self) {
+        for index in self.maybe_unused.drain(..) {
+            if let btree_map::Entry::Occupied(entry) = self.uses.entry(index)
+                && entry.get().upstream_count == 0
             {
-                let (name, _) = used.remove();
-                self.others.remove(&name);
+                self.unconfigured.remove(&entry.remove().name);
             }
         }
     }
 }
 
+/// The sizes of the directory, to be logged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DirectoryCounts {
+    pub upstreams: usize,
+    /// Names of zones that are not in the settings.
+    pub unconfigured_zones: usize,
+    /// Names of machine kinds that are not in the settings.
+    pub unconfigured_kinds: usize,
+}
+
+impl fmt::Display for DirectoryCounts {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let DirectoryCounts { upstreams, unconfigured_zones, unconfigured_kinds } = self;
+        write!(formatter, "[{upstreams}, {unconfigured_zones}, {unconfigured_kinds}]")
+    }
+}
+
 impl UpstreamDirectory {
-    pub fn new(names: Names, unix_start: i64) -> Self {
-        let (zones, kinds) = (Numbers::new(names.zones), Numbers::new(names.kinds));
-        UpstreamDirectory { zones, kinds, places: BTreeMap::new(), unix_start }
+    /// Creates an empty directory. `unix_epoch` is the Unix epoch on the balancer's clock, in tenths of a millisecond.
+    pub fn new(names: Names, unix_epoch: i64) -> Self {
+        UpstreamDirectory {
+            zones: NameIndexes::new(names.zones),
+            kinds: NameIndexes::new(names.kinds),
+            locations: BTreeMap::new(),
+            unix_epoch,
+        }
     }
 
+    /// The address of an upstream, if it is known.
     pub fn address(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
-        self.places.get(upstream).map(|place| place.address)
+        self.locations.get(upstream).map(|location| location.address)
     }
 
+    /// Whether no upstream is known.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
-    /// How many upstreams are known, and names of zones and kinds that the settings don't know.
-    pub fn counts(&self) -> [usize; 3] {
-        [self.places.len(), self.zones.others.len(), self.kinds.others.len()]
+    /// How many upstreams and unconfigured names are known.
+    pub fn counts(&self) -> DirectoryCounts {
+        DirectoryCounts {
+            upstreams: self.locations.len(),
+            unconfigured_zones: self.zones.unconfigured.len(),
+            unconfigured_kinds: self.kinds.unconfigured.len(),
+        }
     }
 
+    /// Applies a list, which may hold all upstreams or only changes. Returns its entries for the balancer.
     pub fn apply_list(&mut self, list: UpstreamList) -> Rc<[UpstreamEntry]> {
         log::debug!("list {} whole {} names {}", list.version, list.is_snapshot, list.targets.len());
         if list.is_snapshot {
-            let named: BTreeSet<&str> = list.targets.iter().map(|t| &*t.upstream).collect();
-            let missing = self.places.keys().filter(|upstream| !named.contains(&***upstream));
-            let missing: Vec<UpstreamId> = missing.cloned().collect();
-            missing.into_iter().for_each(|upstream| self.place(upstream, None));
-        }
-        let mut entries = Vec::with_capacity(list.targets.len());
-        for target in list.targets {
-            log::debug!(
-                "{} is {:?} in {} of {} size {} since {}",
-                target.upstream,
-                target.stage,
-                target.zone,
-                target.kind,
-                target.size,
-                target.started
-            );
-            let upstream: UpstreamId = target.upstream.into();
-            let (zone, kind) = (self.zones.of(&target.zone), self.kinds.of(&target.kind));
-            let place = Place { address: target.address, zone, kind };
-            self.place(upstream.clone(), Some(place).filter(|_| target.stage != Stage::Gone));
-            entries.push(UpstreamEntry {
-                upstream,
-                cell: target.cell,
-                started_at: started(target.started, self.unix_start),
-                capacity: target.size,
-                zone,
-                kind,
-                stage: target.stage,
-            });
+            self.remove_missing(&list.targets);
         }
+        let mut entries: Vec<UpstreamEntry> =
+            list.targets.into_iter().map(|target| self.apply_target(target)).collect();
         entries.extend(list.removed.into_iter().filter_map(|upstream| self.remove(upstream)));
-        self.zones.forget_unused();
-        self.kinds.forget_unused();
+        self.zones.remove_unused();
+        self.kinds.remove_unused();
         entries.into()
     }
 
-    /// Where an upstream is from now on; none where it is gone.
-    fn place(&mut self, upstream: UpstreamId, place: Option<Place>) {
-        if let Some(Place { zone, kind, .. }) = place {
+    /// Removes the upstreams that a snapshot leaves out.
+    fn remove_missing(&mut self, snapshot: &[Target]) {
+        let listed: BTreeSet<&str> = snapshot.iter().map(|target| &*target.upstream).collect();
+        let missing = self.locations.keys().filter(|upstream| !listed.contains(&***upstream));
+        let missing: Vec<UpstreamId> = missing.cloned().collect();
+        missing.into_iter().for_each(|upstream| self.set_location(upstream, None));
+    }
+
+    fn apply_target(&mut self, target: Target) -> UpstreamEntry {
+        log::debug!(
+            "{} is {} in {} of {} size {} since {}",
+            target.upstream,
+            stage_label(target.stage),
+            target.zone,
+            target.kind,
+            target.size,
+            target.started
+        );
+        let upstream: UpstreamId = target.upstream.into();
+        let zone = self.zones.index_of(&target.zone);
+        let kind = self.kinds.index_of(&target.kind);
+        let location = Location { address: target.address, zone, kind };
+        self.set_location(upstream.clone(), Some(location).filter(|_| target.stage != Stage::Gone));
+        UpstreamEntry {
+            upstream,
+            cell: target.cell,
+            started_at: start_time(target.started, self.unix_epoch),
+            capacity: target.size,
+            zone,
+            kind,
+            stage: target.stage,
+        }
+    }
+
+    /// Sets the location of an upstream, or removes it if there is none.
+    fn set_location(&mut self, upstream: UpstreamId, location: Option<Location>) {
+        if let Some(Location { zone, kind, .. }) = location {
             self.zones.add_use(zone);
             self.kinds.add_use(kind);
         }
-        let before = match place {
-            Some(place) => self.places.insert(upstream, place),
-            None => self.places.remove(&upstream),
+        let previous = match location {
+            Some(location) => self.locations.insert(upstream, location),
+            None => self.locations.remove(&upstream),
         };
-        if let Some(Place { zone, kind, .. }) = before {
+        if let Some(Location { zone, kind, .. }) = previous {
             self.zones.remove_use(zone);
             self.kinds.remove_use(kind);
         }
     }
 
-    /// The entry of an upstream that is gone; none where it is not known.
+    /// Removes an upstream. Returns its last entry, which says that it is gone, or none if it was not known.
     fn remove(&mut self, upstream: String) -> Option<UpstreamEntry> {
         log::debug!("{upstream} is removed");
         let upstream: UpstreamId = upstream.into();
-        let Place { zone, kind, .. } = *self.places.get(&upstream)?;
-        self.place(upstream.clone(), None);
-        let (cell, started, size, stage) = (0, None, 0.0, Stage::Gone);
-        Some(UpstreamEntry { upstream, cell, started_at: started, capacity: size, zone, kind, stage })
+        let Location { zone, kind, .. } = *self.locations.get(&upstream)?;
+        self.set_location(upstream.clone(), None);
+        Some(UpstreamEntry {
+            upstream,
+            cell: 0,
+            started_at: None,
+            capacity: 0.0,
+            zone,
+            kind,
+            stage: Stage::Gone,
+        })
     }
 }
 
-fn started(unix_ms: u64, unix_start: i64) -> Option<TenthMillis> {
-    let tenths = i64::try_from(unix_ms).ok()?.checked_mul(10)?.checked_add(unix_start)?;
+/// A start in Unix time (ms) on the balancer's clock. None if it is before that clock's start, or 0, which stands for long
+/// ago.
+fn start_time(unix_ms: u64, unix_epoch: i64) -> Option<TenthMillis> {
+    let tenths = i64::try_from(unix_ms).ok()?.checked_mul(10)?.checked_add(unix_epoch)?;
     if unix_ms == 0 { None } else { TenthMillis::try_from(tenths).ok() }
 }
--- a/crates/pondlb-server/src/routing/events.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -1,8 +1,6 @@
-//! What connections report to the router (`RouterEvent`), and the attempts it sends (`OutgoingAttempt`).
+//! Events that the transport reports to the router.
 
 use std::fmt;
-use std::net::SocketAddr;
-use std::rc::Rc;
 
 use pondlb::{Arrival, Load, Outcome, RequestId, TenthMillis, UpstreamId};
 use pondlb_http::Message;
@@ -25,25 +23,13 @@
     }
 }
 
-/// An attempt to be carried out.
-#[derive(Debug)]
-pub struct OutgoingAttempt {
-    pub id: AttemptId,
-    pub upstream: UpstreamId,
-    pub address: SocketAddr,
-    pub message: Rc<Message>,
-    /// When the balancer stops waiting for it.
-    pub deadline: TenthMillis,
-    /// Written later than this it would be met as new, though an earlier one may have run.
-    pub send_by: Option<TenthMillis>,
-}
-
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
     pub outcome: Outcome,
-    /// What the client is to get, where this is final.
+    /// The answer for the client, if this result decides it.
     pub final_answer: Option<Answer>,
+    /// The load that the upstream reported with its answer.
     pub load: Load,
 }
 
@@ -53,43 +39,32 @@
     }
 }
 
-/// What connections and timers let the exchange know.
+/// What connections and calls report to the router.
 pub enum RouterEvent {
-    RequestArrived {
-        arrival: Arrival,
-        message: Message,
-        answer_sender: oneshot::Sender<Answer>,
-    },
-    ClientDisconnected {
-        request: RequestId,
-    },
-    AttemptEnded {
-        attempt: AttemptId,
-        result: AttemptResult,
-    },
-    ProbeEnded {
-        upstream: UpstreamId,
-        outcome: Outcome,
-        duration: TenthMillis,
-        load: Load,
-    },
+    /// A client has sent a request.
+    RequestArrived { arrival: Arrival, message: Message, answer_sender: oneshot::Sender<Answer> },
+    /// A client has closed its connection before its answer.
+    ClientDisconnected { request: RequestId },
+    /// An attempt has ended.
+    AttemptEnded { attempt: AttemptId, result: AttemptResult },
+    /// A probe of an upstream's load has ended.
+    ProbeEnded { upstream: UpstreamId, outcome: Outcome, duration: TenthMillis, load: Load },
+    /// Discovery has answered with a list.
     ListReceived(UpstreamList),
     /// Control servers have changed upstreams.
     UpstreamsChanged {
         upstreams: UpstreamList,
-        /// The first whole state is in force with it.
+        /// Whether these are the last upstreams of the first snapshot.
         completes_snapshot: bool,
-        /// To be told once they are in force.
+        /// Notified once the changes are in force.
         applied_sender: oneshot::Sender<()>,
     },
-    /// The list was right at that time, or nobody could reach discovery then.
-    ListConfirmed {
-        at: TenthMillis,
-    },
-    /// Discovery turned a call away, or what came is no list.
+    /// The list was up to date at that time, or discovery could be reached by nobody then.
+    ListConfirmed { at: TenthMillis },
+    /// Discovery refused a call, or its answer was not a list.
     ListRefused,
-    /// Nobody answered a call to discovery, or its connection broke.
+    /// A call to discovery reached nobody, or its connection broke.
     DiscoveryUnreachable,
-    /// A watch was not answered though its wait is over.
+    /// A watch was not answered within its time limit.
     WatchTimedOut,
 }
--- a/crates/pondlb-server/src/routing/mod.rs
+++ b/crates/pondlb-server/src/routing/mod.rs
@@ -1,14 +1,18 @@
-//! Between the protocols and the decisions: what happened becomes events, actions become work for others.
-//! Nothing here decides, and nothing here knows a socket.
+//! Connects the transport with the balancer's decisions: events of connections become events of the balancer, and the
+//! balancer's actions become calls to the transport. This module makes no decisions and uses no sockets.
 
 mod directory;
 mod events;
+mod labels;
 mod metrics;
+mod recent_ids;
 mod router;
 #[cfg(test)]
 mod tests;
+mod transport;
 
 pub use directory::UpstreamDirectory;
-pub use events::{AttemptId, AttemptResult, OutgoingAttempt, RouterEvent};
+pub use events::{AttemptId, AttemptResult, RouterEvent};
 pub use metrics::Metrics;
-pub use router::{AttemptHandle, Router, Transport};
+pub use router::Router;
+pub use transport::{AttemptHandle, OutgoingAttempt, Transport};
--- a/crates/pondlb-server/src/routing/router.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -1,261 +1,216 @@
-//! Owns the balancer: turns notes into its events and carries out its actions, request by request.
+//! The router: owns the balancer, passes events to it and executes its actions, request by request.
 
-use std::collections::{BTreeMap, HashSet, VecDeque};
+use std::collections::BTreeMap;
 use std::mem;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
 use pondlb::{
-    Action, Balancer, ConfigChange, Event, ListUpdate, Load, Outcome, RequestId, Stage, TenthMillis,
+    Action, Arrival, Balancer, ConfigChange, Event, ListUpdate, Load, Outcome, RequestId, Stage, TenthMillis,
     UpstreamId,
 };
 use pondlb_http::Message;
 use tokio::sync::oneshot;
 
-use super::metrics::count;
-use super::{AttemptId, AttemptResult, Metrics, OutgoingAttempt, RouterEvent, UpstreamDirectory};
+use super::labels::{give_up_reason_label, outcome_label};
+use super::metrics::increment;
+use super::recent_ids::RecentRequestIds;
+use super::{
+    AttemptHandle, AttemptId, AttemptResult, Metrics, OutgoingAttempt, RouterEvent, Transport,
+    UpstreamDirectory,
+};
 use crate::protocol::answer::Answer;
 use crate::protocol::discovery::UpstreamList;
 
-/// Does the work that the decisions ask for.
-pub trait Transport {
-    /// Kept while an attempt is out; dropping it gives the attempt up and closes its connection.
-    type Handle: AttemptHandle;
-
-    fn send_attempt(&mut self, order: OutgoingAttempt) -> Self::Handle;
-    /// Asks for an upstream's load; `RouterEvent::ProbeEnded` says what came of it.
-    fn probe(&mut self, upstream: UpstreamId, address: SocketAddr);
-    fn watch_list(&mut self, on: bool);
-    fn fetch_list(&mut self);
-    fn close_idle_connections(&mut self, upstream: &str);
-}
-
-/// What is kept of an attempt that is out.
-pub trait AttemptHandle {
-    /// Whether its last byte has been written, so that it may run; until then it can be taken back.
-    fn is_written(&self) -> bool;
-}
-
-/// A request until its final answer is given and none of its attempts is out.
+/// A request from its arrival until its final answer is given and none of its attempts is open.
 struct Request {
     message: Rc<Message>,
-    /// None once the final answer is given or the client has left.
-    answer: Option<oneshot::Sender<Answer>>,
+    /// None once the final answer is given or the client has disconnected.
+    answer_sender: Option<oneshot::Sender<Answer>>,
     deadline: TenthMillis,
-    /// How many attempts there have been.
-    attempts: u32,
-    out: u32,
+    /// Attempts started so far.
+    attempt_count: u32,
+    open_attempts: u32,
 }
 
-struct Out<H> {
-    order: TenthMillis,
-    upstream: UpstreamId,
-    hold: H,
+impl Request {
+    fn is_answered(&self) -> bool {
+        self.answer_sender.is_none()
+    }
 }
 
-/// The ids of the last while, so many at most. They are new with every request: who sends one again has it
-/// from somebody else.
-#[derive(Default)]
-struct Ids {
-    taken: HashSet<RequestId>,
-    order: VecDeque<(TenthMillis, RequestId)>,
+/// An attempt from its start until its result is known.
+struct OpenAttempt<H> {
+    started_at: TenthMillis,
+    upstream: UpstreamId,
+    handle: H,
 }
 
-const TAKEN_FOR: TenthMillis = 50_000;
-const MOST_TAKEN: usize = 8192;
-
-impl Ids {
-    /// False when it is taken.
-    fn take(&mut self, now: TenthMillis, id: &RequestId) -> bool {
-        let old = |(at, _): &(TenthMillis, RequestId)| at + TAKEN_FOR <= now;
-        while self.order.front().is_some_and(old) || self.order.len() >= MOST_TAKEN {
-            if let Some((_, id)) = self.order.pop_front() {
-                self.taken.remove(&id);
-            }
-        }
-        let new = self.taken.insert(id.clone());
-        if new {
-            self.order.push_back((now, id.clone()));
-        }
-        new
-    }
+/// The timer that the balancer has set.
+struct Timer {
+    fires_at: TenthMillis,
+    token: &'static str,
 }
 
 /// Owns the balancer, and the requests and attempts that it has decided on.
-pub struct Router<C: Transport> {
+pub struct Router<T: Transport> {
     balancer: Balancer,
     directory: UpstreamDirectory,
-    carrier: C,
+    transport: T,
     requests: BTreeMap<RequestId, Request>,
-    ids: Ids,
-    outs: BTreeMap<AttemptId, Out<C::Handle>>,
-    /// Requests that nobody waits for any more, since the last look at what of theirs can be taken back.
-    closed: Vec<RequestId>,
+    recent_ids: RecentRequestIds,
+    open_attempts: BTreeMap<AttemptId, OpenAttempt<T::Handle>>,
+    /// Requests that were answered, or whose client disconnected, since their unwritten attempts were last withdrawn.
+    closed_requests: Vec<RequestId>,
+    /// Events for the balancer's next turn.
     events: Vec<Event>,
+    /// Buffer for the balancer's actions, kept for its capacity.
     actions: Vec<Action>,
-    wake: Option<(TenthMillis, &'static str)>,
-    /// When every request must have its answer, whatever its deadline: the program is killed soon after.
-    end: Option<TenthMillis>,
-    /// How much before its deadline a request must have its answer, for a loop that runs late.
-    slack: TenthMillis,
-    /// The list of upstreams is not whole before control servers have told it.
-    awaits_state: bool,
+    timer: Option<Timer>,
+    /// By when every request must have its answer, whatever its deadline; the process is killed soon after.
+    shutdown_deadline: Option<TenthMillis>,
+    /// How much before its deadline a request must have its answer, since the event loop may run late.
+    deadline_margin: TenthMillis,
+    /// The list of upstreams is incomplete until the first snapshot of the control servers is in force.
+    awaits_first_snapshot: bool,
     metrics: Metrics,
 }
 
-impl<C: Transport> Router<C> {
-    pub fn new(balancer: Balancer, directory: UpstreamDirectory, carrier: C, slack: TenthMillis) -> Self {
+impl<T: Transport> Router<T> {
+    /// Creates a router without upstreams. Each request must have its answer `deadline_margin` before its deadline.
+    pub fn new(
+        balancer: Balancer,
+        directory: UpstreamDirectory,
+        transport: T,
+        deadline_margin: TenthMillis,
+    ) -> Self {
         Router {
             balancer,
             directory,
-            carrier,
+            transport,
             requests: BTreeMap::new(),
-            ids: Ids::default(),
-            outs: BTreeMap::new(),
-            closed: Vec::new(),
+            recent_ids: RecentRequestIds::default(),
+            open_attempts: BTreeMap::new(),
+            closed_requests: Vec::new(),
             events: Vec::new(),
             actions: Vec::new(),
-            wake: None,
-            end: None,
-            slack,
-            awaits_state: false,
+            timer: None,
+            shutdown_deadline: None,
+            deadline_margin,
+            awaits_first_snapshot: false,
             metrics: Metrics::default(),
         }
     }
 
-    /// Control servers are followed: nothing is known until their first whole state is in force.
+    /// Treats the list of upstreams as incomplete until the first snapshot of the control servers is in force.
     pub fn await_first_snapshot(&mut self) {
-        self.awaits_state = true;
+        self.awaits_first_snapshot = true;
     }
 
-    /// Puts checked changes of the terms in force; requests that are open end under what they came with.
+    /// Puts validated changes of the configuration in force. Open requests are finished under the configuration with
+    /// which they arrived.
     pub fn apply_config_changes(&mut self, now: TenthMillis, changes: &[ConfigChange]) {
         self.balancer.apply(changes);
-        self.decide(now);
+        self.run_balancer(now);
     }
 
-    /// The list as it was before the start, and when it was right; none where nobody confirms lists.
-    pub fn restore_list(&mut self, now: TenthMillis, known: UpstreamList, current_at: Option<TenthMillis>) {
-        let entries = self.directory.apply_list(known);
+    /// Restores the list of upstreams from before the start, and the time at which it was last up to date. There is no
+    /// such time with control servers, which don't confirm lists.
+    pub fn restore_list(&mut self, now: TenthMillis, list: UpstreamList, current_at: Option<TenthMillis>) {
+        let entries = self.directory.apply_list(list);
         self.events.extend(current_at.map(|at| Event::ListConfirmed { at }));
         self.events.push(Event::ListUpdate(ListUpdate::Restored(entries)));
-        self.decide(now);
+        self.run_balancer(now);
     }
 
-    /// Hands over all that happened until now, and carries out what is decided. At `wake_at` it wants to be
-    /// called again, with nothing new.
-    pub fn handle_events(&mut self, now: TenthMillis, notes: impl IntoIterator<Item = RouterEvent>) {
-        for note in notes {
-            self.read(now, note);
+    /// Handles events and whatever is due by now, and executes the balancer's actions. Must be called again at
+    /// [`next_wakeup`](Self::next_wakeup), if only without events.
+    pub fn handle_events(&mut self, now: TenthMillis, events: impl IntoIterator<Item = RouterEvent>) {
+        for event in events {
+            self.handle_event(now, event);
         }
-        let closed = mem::take(&mut self.closed);
+        let closed = mem::take(&mut self.closed_requests);
         if !closed.is_empty() {
-            self.take_back(now, |id, _| closed.contains(id));
+            self.withdraw_unwritten(now, |request, _| closed.contains(request));
         }
-        if self.end.is_some_and(|at| at <= now) {
-            let late: Vec<AttemptId> = self.outs.keys().cloned().collect();
-            late.into_iter().for_each(|attempt| self.ended(now, attempt, Outcome::TimedOut.into()));
+        if self.shutdown_deadline.is_some_and(|at| at <= now) {
+            let overdue: Vec<AttemptId> = self.open_attempts.keys().cloned().collect();
+            overdue.into_iter().for_each(|id| self.end_attempt(now, id, Outcome::TimedOut.into()));
         }
-        if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
+        if let Some(Timer { token, .. }) = self.timer.take_if(|timer| timer.fires_at <= now) {
             self.events.push(Event::TimerFired { token: token.into() });
         }
-        self.decide(now);
-    }
-
-    /// Of these attempts those that are not written yet: one that is still dialling would be written long after, also
-    /// where work that has begun may not be cancelled.
-    fn take_back(&mut self, now: TenthMillis, which: impl Fn(&RequestId, &UpstreamId) -> bool) {
-        let chosen =
-            self.outs.iter().filter(|(id, out)| !out.hold.is_written() && which(&id.request, &out.upstream));
-        let chosen: Vec<AttemptId> = chosen.map(|(attempt, _)| attempt.clone()).collect();
-        chosen.into_iter().for_each(|attempt| self.ended(now, attempt, Outcome::Moot.into()));
+        self.run_balancer(now);
     }
 
+    /// When [`handle_events`](Self::handle_events) must be called next, at the latest.
     pub fn next_wakeup(&self) -> Option<TenthMillis> {
-        let end = self.end.filter(|_| !self.outs.is_empty());
-        self.wake.map(|(at, _)| at).into_iter().chain(end).min()
+        let shutdown = self.shutdown_deadline.filter(|_| !self.open_attempts.is_empty());
+        self.timer.as_ref().map(|timer| timer.fires_at).into_iter().chain(shutdown).min()
     }
 
-    /// From then on nothing is sent, and what is out is given up, for the decisions to answer.
+    /// Sets the time by which every request must have its answer. From then on nothing is sent, and open attempts time
+    /// out, so that the balancer answers their requests.
     pub fn set_shutdown_deadline(&mut self, at: TenthMillis) {
-        self.end = Some(at);
+        self.shutdown_deadline = Some(at);
         for request in self.requests.values_mut() {
             request.deadline = request.deadline.min(at);
         }
     }
 
-    /// Without any, whatever came would have to be rejected.
+    /// Whether any upstream is known and the list is complete; otherwise requests would have to be rejected.
     pub fn has_upstreams(&self) -> bool {
-        !self.directory.is_empty() && !self.awaits_state
+        !self.directory.is_empty() && !self.awaits_first_snapshot
     }
 
-    /// Discovery is at another address from now on.
+    /// Notes that discovery has another address from now on.
     pub fn discovery_address_changed(&mut self, now: TenthMillis) {
         self.events.push(Event::DiscoveryAddressChanged);
-        self.decide(now);
+        self.run_balancer(now);
     }
 
-    /// Whether nothing may be sent since the list has not been confirmed for too long.
+    /// Whether nothing may be sent because the list of upstreams has not been confirmed for too long.
     pub fn is_list_stale(&self) -> bool {
         self.balancer.is_list_stale()
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Requests that are owed an answer.
+    /// The number of requests whose clients still wait for their answer.
     pub fn unanswered_count(&self) -> usize {
-        self.requests.values().filter(|request| request.answer.is_some()).count()
+        self.requests.values().filter(|request| !request.is_answered()).count()
     }
 
-    fn read(&mut self, now: TenthMillis, note: RouterEvent) {
-        match note {
-            RouterEvent::RequestArrived { mut arrival, message, answer_sender: answer } => {
-                // Two requests of one id would get each other's answers, and a second one's effect is no repeat.
-                if self.requests.contains_key(&arrival.request) || !self.ids.take(now, &arrival.request) {
-                    let _gone = answer.send(Answer::DuplicateId);
-                    return;
-                }
-                let hint = arrival.cost.unwrap_or_default();
-                log::debug!("{} comes: scheme {} cost {hint}", arrival.request, arrival.class);
-                arrival.time_left = arrival.time_left.saturating_sub(self.slack);
-                if let Some(end) = self.end {
-                    arrival.time_left = arrival.time_left.min(end.saturating_sub(now));
-                }
-                let (message, deadline) = (Rc::new(message), now + arrival.time_left);
-                let request = Request { message, answer: Some(answer), deadline, attempts: 0, out: 0 };
-                self.requests.insert(arrival.request.clone(), request);
-                self.metrics.requests += 1;
-                self.events.push(Event::RequestArrived(arrival));
+    fn handle_event(&mut self, now: TenthMillis, event: RouterEvent) {
+        match event {
+            RouterEvent::RequestArrived { arrival, message, answer_sender } => {
+                self.accept_request(now, arrival, message, answer_sender);
             }
             RouterEvent::ClientDisconnected { request } => {
-                if self.close(&request).is_some() {
+                if self.close_request(&request).is_some() {
                     self.metrics.left += 1;
                     self.events.push(Event::ClientDisconnected { request });
                 }
             }
-            RouterEvent::AttemptEnded { attempt, result: end } => self.ended(now, attempt, end),
-            RouterEvent::ProbeEnded { upstream, outcome, duration: took, load } => {
-                log::debug!("{upstream} is asked: {outcome:?} after {took}{load}");
-                self.events.push(Event::ProbeEnded { upstream, outcome, duration: took, load });
+            RouterEvent::AttemptEnded { attempt, result } => self.end_attempt(now, attempt, result),
+            RouterEvent::ProbeEnded { upstream, outcome, duration, load } => {
+                log::debug!("{upstream} is probed: {} after {duration}{load}", outcome_label(outcome));
+                self.events.push(Event::ProbeEnded { upstream, outcome, duration, load });
             }
             RouterEvent::ListConfirmed { at } => self.events.push(Event::ListConfirmed { at }),
             RouterEvent::ListReceived(list) => {
                 self.metrics.lists += 1;
-                self.listed(now, list);
+                self.apply_list(now, list);
             }
-            RouterEvent::UpstreamsChanged {
-                upstreams,
-                completes_snapshot: completes,
-                applied_sender: applied,
-            } => {
+            RouterEvent::UpstreamsChanged { upstreams, completes_snapshot, applied_sender } => {
                 if !(upstreams.targets.is_empty() && upstreams.removed.is_empty()) {
-                    self.listed(now, upstreams);
+                    self.apply_list(now, upstreams);
                 }
-                self.awaits_state &= !completes;
-                let _ended = applied.send(());
+                self.awaits_first_snapshot &= !completes_snapshot;
+                // The receiver is gone where its task has ended.
+                let _ = applied_sender.send(());
             }
             RouterEvent::ListRefused => {
                 self.metrics.calls_refused += 1;
@@ -272,163 +227,211 @@
         }
     }
 
-    fn listed(&mut self, now: TenthMillis, list: UpstreamList) {
-        let whole = list.is_snapshot;
+    fn accept_request(
+        &mut self,
+        now: TenthMillis,
+        mut arrival: Arrival,
+        message: Message,
+        answer_sender: oneshot::Sender<Answer>,
+    ) {
+        // Two open requests with one id would get each other's answers. The effect of a second one would not be
+        // recognized as a repetition of the first one's.
+        if self.requests.contains_key(&arrival.request) || !self.recent_ids.insert(now, &arrival.request) {
+            // The receiver is gone where the client has disconnected.
+            let _ = answer_sender.send(Answer::DuplicateId);
+            return;
+        }
+        let cost = arrival.cost.unwrap_or_default();
+        log::debug!("{} arrives: scheme {} cost {cost}", arrival.request, arrival.class);
+        arrival.time_left = arrival.time_left.saturating_sub(self.deadline_margin);
+        if let Some(shutdown) = self.shutdown_deadline {
+            arrival.time_left = arrival.time_left.min(shutdown.saturating_sub(now));
+        }
+        let request = Request {
+            message: Rc::new(message),
+            answer_sender: Some(answer_sender),
+            deadline: now + arrival.time_left,
+            attempt_count: 0,
+            open_attempts: 0,
+        };
+        self.requests.insert(arrival.request.clone(), request);
+        self.metrics.requests += 1;
+        self.events.push(Event::RequestArrived(arrival));
+    }
+
+    fn apply_list(&mut self, now: TenthMillis, list: UpstreamList) {
+        let is_snapshot = list.is_snapshot;
         let entries = self.directory.apply_list(list);
-        // Nothing is begun at who is announced as leaving, or is not named any more.
-        self.take_back(now, |_, up| {
-            let named = entries.iter().find(|entry| entry.upstream == *up);
-            named.map_or(whole, |entry| entry.stage != Stage::Live)
+        // Nothing is started any more at an upstream that is draining or gone, or that a snapshot leaves out.
+        self.withdraw_unwritten(now, |_, upstream| {
+            let entry = entries.iter().find(|entry| entry.upstream == *upstream);
+            entry.map_or(is_snapshot, |entry| entry.stage != Stage::Live)
         });
-        let listing = if whole { ListUpdate::Snapshot } else { ListUpdate::Changes };
-        self.events.push(Event::ListUpdate(listing(entries)));
-        let (listed, known) = (self.directory.counts(), self.balancer.tracked_counts());
+        let update = if is_snapshot { ListUpdate::Snapshot } else { ListUpdate::Changes };
+        self.events.push(Event::ListUpdate(update(entries)));
         log::debug!(
-            "listed upstreams, other zones, kinds: {listed:?}; upstreams, zones, kinds, txns: {known}"
+            "listed upstreams, other zones, kinds: {}; upstreams, zones, kinds, txns: {}",
+            self.directory.counts(),
+            self.balancer.tracked_counts()
         );
     }
 
-    /// An attempt given up may have ended at the same moment: only the first of the two ends counts.
-    fn ended(&mut self, now: TenthMillis, id: AttemptId, end: AttemptResult) {
-        let Some(out) = self.outs.remove(&id) else { return };
-        let AttemptId { request: id, number: attempt } = id;
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.out -= 1;
+    /// Ends those of the chosen attempts that have not been written yet. One that is still connecting might be written
+    /// long after the reason for it is gone. Since it has not run, it is withdrawn even where attempts that have begun
+    /// may not be cancelled.
+    fn withdraw_unwritten(&mut self, now: TenthMillis, is_chosen: impl Fn(&RequestId, &UpstreamId) -> bool) {
+        let chosen: Vec<AttemptId> = (self.open_attempts.iter())
+            .filter(|(id, attempt)| !attempt.handle.is_written() && is_chosen(&id.request, &attempt.upstream))
+            .map(|(id, _)| id.clone())
+            .collect();
+        chosen.into_iter().for_each(|id| self.end_attempt(now, id, Outcome::Moot.into()));
+    }
+
+    /// Ends an attempt and closes its connection. An attempt that is cancelled may have ended at the same moment; only
+    /// the first of the two ends counts.
+    fn end_attempt(&mut self, now: TenthMillis, id: AttemptId, result: AttemptResult) {
+        let Some(OpenAttempt { started_at, upstream, handle }) = self.open_attempts.remove(&id) else {
+            return;
+        };
+        if let Some(request) = self.requests.get_mut(&id.request) {
+            request.open_attempts -= 1;
         }
-        let (up, outcome, took, load) = (&out.upstream, end.outcome, now - out.order, end.load);
-        log::debug!("{id} {attempt} ends at {up}: {outcome:?} after {took}{load}");
-        count(&mut self.metrics.outcomes, outcome);
-        if let Some(reply) = end.final_answer {
-            self.metrics.served += u64::from(self.give(&id, reply));
+        let AttemptResult { outcome, final_answer, load } = result;
+        let duration = now - started_at;
+        log::debug!("{id} ends at {upstream}: {} after {duration}{load}", outcome_label(outcome));
+        increment(&mut self.metrics.outcomes, outcome);
+        if let Some(answer) = final_answer {
+            self.metrics.served += u64::from(self.answer_request(&id.request, answer));
         }
-        let answered = self.requests.get(&id).is_none_or(|request| request.answer.is_none());
-        self.forget(&id);
+        let answered = self.requests.get(&id.request).is_none_or(Request::is_answered);
+        self.remove_if_done(&id.request);
         self.events.push(Event::AttemptEnded {
-            request: id,
-            attempt,
-            upstream: out.upstream,
-            outcome: end.outcome,
-            duration: now - out.order,
+            request: id.request,
+            attempt: id.number,
+            upstream,
+            outcome,
+            duration,
             answered,
-            load: end.load,
+            load,
         });
+        drop(handle);
     }
 
-    fn decide(&mut self, now: TenthMillis) {
+    /// Passes the events to the balancer and executes its actions until there are no events left.
+    fn run_balancer(&mut self, now: TenthMillis) {
         loop {
             let mut actions = mem::take(&mut self.actions);
             self.balancer.handle(now, self.events.drain(..), &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
             self.actions = actions;
-            // What a cancellation or an attempt that can't leave brings about is news again.
+            // Actions can cause events: a cancelled attempt ends, and one that can't be sent ends at once.
             if self.events.is_empty() {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, now: TenthMillis, action: Action) {
+    fn execute(&mut self, now: TenthMillis, action: Action) {
         match action {
-            Action::Attempt { request, upstream, timeout, send_by: begin_by } => {
-                self.attempt(now, request, upstream, timeout, begin_by);
+            Action::Attempt { request, upstream, timeout, send_by } => {
+                self.start_attempt(now, request, upstream, timeout, send_by);
             }
             Action::Cancel { request, attempt } => {
-                // Dropping what is kept of it closes its connection.
-                self.ended(now, AttemptId { request, number: attempt }, Outcome::Cancelled.into());
+                self.end_attempt(now, AttemptId { request, number: attempt }, Outcome::Cancelled.into());
             }
-            Action::Reject { request, retry_after: cool_down, reason: why } => {
-                log::debug!("{request} is rejected: {why:?}");
-                count(&mut self.metrics.rejected, why);
-                self.give(&request, Answer::Rejected { retry_after: cool_down });
+            Action::Reject { request, retry_after, reason } => {
+                log::debug!("{request} is rejected: {}", give_up_reason_label(reason));
+                increment(&mut self.metrics.rejected, reason);
+                self.answer_request(&request, Answer::Rejected { retry_after });
             }
-            Action::Fail { request, reason: why } => {
-                log::debug!("{request} fails: {why:?}");
-                count(&mut self.metrics.failed, why);
-                self.give(&request, Answer::Failed);
+            Action::Fail { request, reason } => {
+                log::debug!("{request} fails: {}", give_up_reason_label(reason));
+                increment(&mut self.metrics.failed, reason);
+                self.answer_request(&request, Answer::Failed);
             }
-            Action::WatchList { enabled: on } => self.carrier.watch_list(on),
-            Action::FetchList => self.carrier.fetch_list(),
-            Action::CloseIdleConnections { upstream } => self.carrier.close_idle_connections(&upstream),
-            Action::SetTimer { token, after } => self.wake = Some((now + after, token)),
+            Action::WatchList { enabled } => self.transport.watch_list(enabled),
+            Action::FetchList => self.transport.fetch_list(),
+            Action::CloseIdleConnections { upstream } => self.transport.close_idle_connections(&upstream),
+            Action::SetTimer { token, after } => self.timer = Some(Timer { fires_at: now + after, token }),
             Action::Log { text } => log::info!("{text}"),
             Action::Probe { upstream } => match self.directory.address(&upstream) {
-                Some(address) => self.carrier.probe(upstream, address),
+                Some(address) => self.transport.probe(upstream, address),
                 None => {
                     let (outcome, load) = (Outcome::Moot, Load::default());
                     self.events.push(Event::ProbeEnded { upstream, outcome, duration: 0, load });
                 }
             },
-            Action::SendToPeer { .. } => log::warn!("talk with peers is not carried here: {action:?}"),
+            Action::SendToPeer { .. } => log::warn!("messages to peers are not supported: {action:?}"),
         }
     }
 
-    fn attempt(
+    fn start_attempt(
         &mut self,
         now: TenthMillis,
         id: RequestId,
         upstream: UpstreamId,
         timeout: Option<TenthMillis>,
-        begin_by: Option<TenthMillis>,
+        send_by: Option<TenthMillis>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let attempt = request.attempts;
-        request.attempts += 1;
+        let attempt = AttemptId { request: id, number: request.attempt_count };
+        request.attempt_count += 1;
         let outcome = match self.directory.address(&upstream) {
-            // Nothing leaves after the final answer or the deadline, whoever asks for it.
-            _ if request.answer.is_none() || now >= request.deadline => Outcome::Moot,
+            // Nothing is sent after the final answer or the deadline, even if the balancer asks for it.
+            _ if request.is_answered() || now >= request.deadline => Outcome::Moot,
             None => Outcome::ConnectFailed,
             Some(address) => {
-                log::debug!("{id} {attempt} is posted to {upstream}");
-                request.out += 1;
+                log::debug!("{attempt} is posted to {upstream}");
+                request.open_attempts += 1;
                 self.metrics.attempts += 1;
-                let until = timeout.map_or(request.deadline, |span| request.deadline.min(now + span));
-                let (message, name) = (request.message.clone(), upstream.clone());
-                let id = AttemptId { request: id.clone(), number: attempt };
-                let order = OutgoingAttempt {
-                    id: id.clone(),
-                    upstream: name,
+                let deadline =
+                    timeout.map_or(request.deadline, |timeout| request.deadline.min(now + timeout));
+                let handle = self.transport.send_attempt(OutgoingAttempt {
+                    id: attempt.clone(),
+                    upstream: upstream.clone(),
                     address,
-                    message,
-                    deadline: until,
-                    send_by: begin_by,
-                };
-                let hold = self.carrier.send_attempt(order);
-                self.outs.insert(id, Out { order: now, upstream, hold });
+                    message: request.message.clone(),
+                    deadline,
+                    send_by,
+                });
+                self.open_attempts.insert(attempt, OpenAttempt { started_at: now, upstream, handle });
                 return;
             }
         };
-        let (answered, took, load) = (request.answer.is_none(), 0, Load::default());
         self.events.push(Event::AttemptEnded {
-            request: id,
-            attempt,
+            request: attempt.request,
+            attempt: attempt.number,
             upstream,
             outcome,
-            duration: took,
-            answered,
-            load,
+            duration: 0,
+            answered: request.is_answered(),
+            load: Load::default(),
         });
     }
 
-    /// The first answer is final; a client that has left gets none. Whether it was this one.
-    fn give(&mut self, id: &RequestId, answer: Answer) -> bool {
-        let Some(waiting) = self.close(id) else { return false };
+    /// Gives a request its final answer. Returns whether the client has got it: a request that is answered already or
+    /// whose client has disconnected gets none.
+    fn answer_request(&mut self, id: &RequestId, answer: Answer) -> bool {
+        let Some(answer_sender) = self.close_request(id) else { return false };
         log::debug!("{id} is answered: {}", answer.log_name());
-        waiting.send(answer).is_ok()
+        answer_sender.send(answer).is_ok()
     }
 
-    fn close(&mut self, id: &RequestId) -> Option<oneshot::Sender<Answer>> {
-        let waiting = self.requests.get_mut(id)?.answer.take();
-        if waiting.is_some() {
-            self.closed.push(id.clone());
+    /// Marks a request as answered. Returns the sender for its answer if it was not answered before.
+    fn close_request(&mut self, id: &RequestId) -> Option<oneshot::Sender<Answer>> {
+        let answer_sender = self.requests.get_mut(id)?.answer_sender.take();
+        if answer_sender.is_some() {
+            self.closed_requests.push(id.clone());
         }
-        self.forget(id);
-        waiting
+        self.remove_if_done(id);
+        answer_sender
     }
 
-    fn forget(&mut self, id: &RequestId) {
-        if self.requests.get(id).is_some_and(|request| request.answer.is_none() && request.out == 0) {
+    /// Removes a request that is answered and has no open attempts.
+    fn remove_if_done(&mut self, id: &RequestId) {
+        if self.requests.get(id).is_some_and(|request| request.is_answered() && request.open_attempts == 0) {
             self.requests.remove(id);
         }
     }
--- a/crates/pondlb-server/src/routing/tests.rs
+++ b/crates/pondlb-server/src/routing/tests.rs
@@ -1,15 +1,21 @@
-//! Events and actions on their way, in short traces; what carries them out here only writes it down.
+//! The router against a transport that records its calls, as traces of events and calls.
 
 use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::iter::successors;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use expect_test::{Expect, expect};
-use pondlb::{Arrival, Balancer, BalancerConfig, Load, Outcome, TenthMillis, UpstreamId};
+use pondlb::{
+    Arrival, Balancer, BalancerConfig, GiveUpReason, Load, Outcome, Stage, TenthMillis, UpstreamEntry,
+    UpstreamId,
+};
 use pondlb_http::{Head, Message};
 use pondlb_terms::Names;
 use tokio::sync::oneshot::{self, Receiver};
 
+use super::labels::{give_up_reason_label, outcome_label, stage_label};
 use super::{
     AttemptHandle, AttemptId, AttemptResult, OutgoingAttempt, Router, RouterEvent, Transport,
     UpstreamDirectory,
@@ -19,58 +25,72 @@
 
 type Trace = Rc<RefCell<String>>;
 
-struct Scribe(Trace);
+/// Writes the router's calls to the trace and does nothing else.
+struct RecordingTransport {
+    trace: Trace,
+}
+
+/// Writes to the trace when it is dropped, which would close the attempt's connection.
+struct RecordingHandle {
+    trace: Trace,
+    attempt: AttemptId,
+    is_written: bool,
+}
 
-/// Says when it is dropped, as the connection of an attempt would close. That of an attempt to `dials` never comes up.
-struct Held(Trace, String, bool);
+/// Attempts to this upstream stay unwritten, as if its connection were never established.
+const UNCONNECTED_UPSTREAM: &str = "unconnected";
 
-impl AttemptHandle for Held {
+impl AttemptHandle for RecordingHandle {
     fn is_written(&self) -> bool {
-        !self.2
+        self.is_written
     }
 }
 
-impl Drop for Held {
+impl Drop for RecordingHandle {
     fn drop(&mut self) {
-        *self.0.borrow_mut() += &format!("  {} is let go\n", self.1);
+        *self.trace.borrow_mut() += &format!("  close {}\n", self.attempt);
     }
 }
 
-impl Transport for Scribe {
-    type Handle = Held;
+impl Transport for RecordingTransport {
+    type Handle = RecordingHandle;
 
-    fn send_attempt(&mut self, order: OutgoingAttempt) -> Held {
-        let what = order.id.to_string();
-        *self.0.borrow_mut() +=
-            &format!("  post {what} to {} at {} until {}\n", order.upstream, order.address, order.deadline);
-        Held(self.0.clone(), what, &*order.upstream == "dials")
+    fn send_attempt(&mut self, attempt: OutgoingAttempt) -> RecordingHandle {
+        let OutgoingAttempt { id, upstream, address, deadline, .. } = attempt;
+        *self.trace.borrow_mut() += &format!("  send {id} to {upstream} at {address}, deadline {deadline}\n");
+        let is_written = &*upstream != UNCONNECTED_UPSTREAM;
+        RecordingHandle { trace: self.trace.clone(), attempt: id, is_written }
     }
 
     fn probe(&mut self, upstream: UpstreamId, _address: SocketAddr) {
-        *self.0.borrow_mut() += &format!("  probe {upstream}\n");
+        *self.trace.borrow_mut() += &format!("  probe {upstream}\n");
     }
 
-    fn watch_list(&mut self, on: bool) {
-        *self.0.borrow_mut() += &format!("  watch {on}\n");
+    fn watch_list(&mut self, enabled: bool) {
+        *self.trace.borrow_mut() += &format!("  watch list: {enabled}\n");
     }
 
     fn fetch_list(&mut self) {
-        *self.0.borrow_mut() += "  fetch\n";
+        *self.trace.borrow_mut() += "  fetch list\n";
     }
 
     fn close_idle_connections(&mut self, upstream: &str) {
-        *self.0.borrow_mut() += &format!("  close idle {upstream}\n");
+        *self.trace.borrow_mut() += &format!("  close idle connections to {upstream}\n");
     }
 }
 
-struct Play {
-    exchange: Router<Scribe>,
+/// A router, and what it does and answers.
+struct TestRouter {
+    router: Router<RecordingTransport>,
     trace: Trace,
-    waiting: Vec<(&'static str, Receiver<Answer>)>,
+    /// Requests without an answer so far.
+    unanswered: Vec<(&'static str, Receiver<Answer>)>,
 }
 
 const IDEMPOTENT: u32 = 0;
 const NON_IDEMPOTENT: u32 = 1;
+/// In tenths of a millisecond, as all times here.
+const DEADLINE_MARGIN: TenthMillis = 50;
 
 const SETTINGS: &str = r#"{"Balancers":1,"SelfIndex":0,"Discovery":"ask","ExcessValue":0.1,"MyZone":0,
 "Limits":{"Cancelling":true,"ConnIdleNs":15000000000,"DialTimeoutNs":250000000,"MaxOpen":20000,"MaxPostings":3,
@@ -80,384 +100,389 @@
 "Schemes":[{"Effect":"idempotent","Name":"browse","SlaTimeNs":1000000000,"Value":1.0},
 {"Effect":"at_most_once","Name":"order","SlaTimeNs":1000000000,"Value":1.0}]}"#;
 
-fn terms() -> (BalancerConfig, Names) {
+fn config() -> (BalancerConfig, Names) {
     let deployment = pondlb_terms::decode(SETTINGS).unwrap();
     (deployment.terms, deployment.names)
 }
 
-/// Upstreams by name, each with its port, zone, state and start.
-fn list(whole: bool, targets: &[(&str, u16, &str, &str, u64)]) -> UpstreamList {
-    let targets: Vec<String> = (targets.iter())
-        .map(|(name, port, zone, state, boot)| {
+/// An upstream as discovery lists it: name, port, zone, state and start in Unix time (ms).
+type ListedUpstream<'a> = (&'a str, u16, &'a str, &'a str, u64);
+
+fn list(is_snapshot: bool, upstreams: &[ListedUpstream]) -> UpstreamList {
+    let targets: Vec<String> = (upstreams.iter())
+        .map(|(name, port, zone, state, boot_ms)| {
             format!(
                 r#"{{"uid":"{name}","endpoint":"127.0.0.1:{port}","az":"{zone}","model":"m1","state":"{state}",
-                "capacity_hint":1,"boot_ms":{boot}}}"#
+                "capacity_hint":1,"boot_ms":{boot_ms}}}"#
             )
         })
         .collect();
-    let json = format!(r#"{{"rev":1,"all":{whole},"targets":[{}]}}"#, targets.join(","));
+    let json = format!(r#"{{"rev":1,"all":{is_snapshot},"targets":[{}]}}"#, targets.join(","));
     UpstreamList::decode(json.as_bytes()).unwrap()
 }
 
-impl Play {
-    fn new(targets: &[(&str, u16, &str, &str, u64)]) -> Play {
-        let (terms, names) = terms();
+impl TestRouter {
+    fn new(upstreams: &[ListedUpstream]) -> TestRouter {
+        let (config, names) = config();
         let trace = Trace::default();
         let directory = UpstreamDirectory::new(names, 0);
-        let mut exchange = Router::new(Balancer::new(terms, 7), directory, Scribe(trace.clone()), 50);
-        exchange.restore_list(0, list(true, targets), None);
-        Play { exchange, trace, waiting: Vec::new() }
+        let transport = RecordingTransport { trace: trace.clone() };
+        let mut router = Router::new(Balancer::new(config, 7), directory, transport, DEADLINE_MARGIN);
+        router.restore_list(0, list(true, upstreams), None);
+        TestRouter { router, trace, unanswered: Vec::new() }
     }
 
-    fn arrive(&mut self, now: TenthMillis, name: &'static str, class: u32, left: TenthMillis) {
-        let (answer, answered) = oneshot::channel();
+    fn request_arrives(&mut self, now: TenthMillis, id: &'static str, class: u32, time_left: TenthMillis) {
+        let (answer_sender, answer_receiver) = oneshot::channel();
         let head = Head { start_line: "GET / HTTP/1.1".into(), fields: Vec::new() };
-        let (request, tenant, key, cost) = (name.into(), 0, None, None);
+        let message = Message { head, body: Vec::new() };
         let arrival = Arrival {
-            request,
+            request: id.into(),
             class,
-            tenant,
-            affinity_key: key,
-            time_left: left,
-            cost,
+            tenant: 0,
+            affinity_key: None,
+            time_left,
+            cost: None,
             is_retry: false,
             is_write: false,
         };
-        self.waiting.push((name, answered));
-        self.step(
-            now,
-            Some(RouterEvent::RequestArrived {
-                arrival,
-                message: Message { head, body: Vec::new() },
-                answer_sender: answer,
-            }),
-        );
+        self.unanswered.push((id, answer_receiver));
+        self.handle(now, RouterEvent::RequestArrived { arrival, message, answer_sender });
+    }
+
+    fn client_disconnects(&mut self, now: TenthMillis, request: &str) {
+        self.handle(now, RouterEvent::ClientDisconnected { request: request.into() });
     }
 
-    fn end(&mut self, now: TenthMillis, name: &str, attempt: u32, outcome: Outcome) {
-        let mut end = AttemptResult::from(outcome);
+    /// Ends an attempt, with an answer that names it if the outcome is `Ok`.
+    fn attempt_ends(&mut self, now: TenthMillis, request: &str, number: u32, outcome: Outcome) {
+        let mut result = AttemptResult::from(outcome);
         if outcome == Outcome::Ok {
             let head = Head { start_line: "HTTP/1.1 200 OK".into(), fields: Vec::new() };
-            end.final_answer =
-                Some(Answer::Served(Message { head, body: format!("of {name} {attempt}").into() }));
+            let body = format!("answer to {request} {number}").into();
+            result.final_answer = Some(Answer::Served(Message { head, body }));
         }
-        self.step(
-            now,
-            Some(RouterEvent::AttemptEnded {
-                attempt: AttemptId { request: name.into(), number: attempt },
-                result: end,
-            }),
-        );
+        let attempt = AttemptId { request: request.into(), number };
+        self.handle(now, RouterEvent::AttemptEnded { attempt, result });
     }
 
-    fn step(&mut self, now: TenthMillis, note: Option<RouterEvent>) {
-        let heading = match &note {
-            None => "wake".into(),
-            Some(RouterEvent::RequestArrived { arrival, .. }) => format!("{} comes", arrival.request),
-            Some(RouterEvent::ClientDisconnected { request }) => format!("{request} leaves"),
-            Some(RouterEvent::AttemptEnded { attempt, result: end }) => {
-                format!("{attempt} ends: {:?}", end.outcome)
-            }
-            Some(RouterEvent::ProbeEnded { upstream, outcome, .. }) => {
-                format!("{upstream} is asked: {outcome:?}")
-            }
-            Some(RouterEvent::ListReceived(_)) => "listed".into(),
-            Some(RouterEvent::UpstreamsChanged { upstreams, completes_snapshot: completes, .. }) => {
-                let counts = [upstreams.targets.len(), upstreams.removed.len()];
-                format!("changed, removed: {counts:?}, completes: {completes}")
-            }
-            Some(RouterEvent::ListConfirmed { at }) => format!("list current at {at}"),
-            Some(RouterEvent::ListRefused) => "list lost".into(),
-            Some(RouterEvent::DiscoveryUnreachable) => "list unreached".into(),
-            Some(RouterEvent::WatchTimedOut) => "watch silent".into(),
-        };
-        *self.trace.borrow_mut() += &format!("{now}: {heading}\n");
-        self.exchange.handle_events(now, note);
-        self.waiting.retain_mut(|(name, answered)| {
-            let line = match answered.try_recv() {
-                Ok(Answer::Served(reply)) => format!("settled {}", String::from_utf8_lossy(&reply.body)),
+    fn list_arrives(&mut self, now: TenthMillis, is_snapshot: bool, upstreams: &[ListedUpstream]) {
+        self.handle(now, RouterEvent::ListReceived(list(is_snapshot, upstreams)));
+    }
+
+    fn handle(&mut self, now: TenthMillis, event: RouterEvent) {
+        let description = describe(&event);
+        self.step(now, &description, Some(event));
+    }
+
+    /// Wakes the router up whenever it asks for it, until then.
+    fn run_until(&mut self, end: TenthMillis) {
+        while let Some(at) = self.router.next_wakeup().filter(|at| *at <= end) {
+            self.step(at, "wakeup", None);
+        }
+    }
+
+    fn step(&mut self, now: TenthMillis, description: &str, event: Option<RouterEvent>) {
+        *self.trace.borrow_mut() += &format!("{now}: {description}\n");
+        self.router.handle_events(now, event);
+        self.unanswered.retain_mut(|(id, answer_receiver)| {
+            let answer = match answer_receiver.try_recv() {
+                Ok(Answer::Served(response)) => {
+                    format!("Served {:?}", String::from_utf8_lossy(&response.body))
+                }
                 Ok(answer) => format!("{answer:?}"),
                 Err(oneshot::error::TryRecvError::Empty) => return true,
                 Err(oneshot::error::TryRecvError::Closed) => return false,
             };
-            *self.trace.borrow_mut() += &format!("  answer to {name}: {line}\n");
+            *self.trace.borrow_mut() += &format!("  {id} is answered: {answer}\n");
             false
         });
     }
 
-    /// Wakes as it is asked for, until then.
-    fn pass(&mut self, until: TenthMillis) {
-        while let Some(at) = self.exchange.next_wakeup().filter(|at| *at <= until) {
-            self.step(at, None);
-        }
+    /// Checks the trace, which ends with the attempts that are open still and the number of unanswered requests.
+    fn assert_trace(self, expected: Expect) {
+        let unanswered = self.router.unanswered_count();
+        drop(self.router);
+        expected.assert_eq(&format!("{}unanswered: {unanswered}\n", self.trace.borrow()));
     }
+}
 
-    /// What is owed at the end stands in the trace too.
-    fn ends_with(self, expect: Expect) {
-        let owed = self.exchange.unanswered_count();
-        drop(self.exchange);
-        expect.assert_eq(&format!("{}owed: {owed}\n", self.trace.borrow()));
+/// How the trace calls an event.
+fn describe(event: &RouterEvent) -> String {
+    match event {
+        RouterEvent::RequestArrived { arrival, .. } => format!("{} arrives", arrival.request),
+        RouterEvent::ClientDisconnected { request } => format!("client of {request} disconnects"),
+        RouterEvent::AttemptEnded { attempt, result } => {
+            format!("{attempt} ends: {}", outcome_label(result.outcome))
+        }
+        RouterEvent::ProbeEnded { upstream, outcome, .. } => {
+            format!("probe of {upstream} ends: {}", outcome_label(*outcome))
+        }
+        RouterEvent::ListReceived(_) => "list received".into(),
+        RouterEvent::UpstreamsChanged { upstreams, completes_snapshot, .. } => {
+            let (changed, removed) = (upstreams.targets.len(), upstreams.removed.len());
+            format!(
+                "upstreams changed: {changed}, removed: {removed}, completes snapshot: {completes_snapshot}"
+            )
+        }
+        RouterEvent::ListConfirmed { at } => format!("list confirmed at {at}"),
+        RouterEvent::ListRefused => "list refused".into(),
+        RouterEvent::DiscoveryUnreachable => "discovery unreachable".into(),
+        RouterEvent::WatchTimedOut => "watch timed out".into(),
     }
 }
 
-const ONE: &[(&str, u16, &str, &str, u64)] = &[("u1", 1, "a", "active", 0)];
-const TWO: &[(&str, u16, &str, &str, u64)] = &[("u1", 1, "a", "active", 0), ("u2", 2, "a", "active", 0)];
+const ONE: &[ListedUpstream] = &[("u1", 1, "a", "active", 0)];
+const TWO: &[ListedUpstream] = &[("u1", 1, "a", "active", 0), ("u2", 2, "a", "active", 0)];
 
 #[test]
-fn an_answer_reaches_its_own_request_and_no_other() {
-    let mut play = Play::new(TWO);
-    play.arrive(10, "t1", IDEMPOTENT, 20_000);
-    play.arrive(20, "t2", IDEMPOTENT, 20_000);
-    play.end(500, "t2", 0, Outcome::Ok);
-    play.end(510, "t2", 0, Outcome::Ok);
-    play.end(520, "t1", 1, Outcome::Ok);
-    play.end(530, "t1", 0, Outcome::Ok);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u2 at 127.0.0.1:2 until 19960
-        20: t2 comes
-          post t2 0 to u1 at 127.0.0.1:1 until 19970
+fn answer_is_given_only_to_its_request() {
+    let mut test = TestRouter::new(TWO);
+    test.request_arrives(10, "t1", IDEMPOTENT, 20_000);
+    test.request_arrives(20, "t2", IDEMPOTENT, 20_000);
+    test.attempt_ends(500, "t2", 0, Outcome::Ok);
+    test.attempt_ends(510, "t2", 0, Outcome::Ok);
+    test.attempt_ends(520, "t1", 1, Outcome::Ok);
+    test.attempt_ends(530, "t1", 0, Outcome::Ok);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u2 at 127.0.0.1:2, deadline 19960
+        20: t2 arrives
+          send t2 0 to u1 at 127.0.0.1:1, deadline 19970
         500: t2 0 ends: Ok
-          t2 0 is let go
-          answer to t2: settled of t2 0
+          close t2 0
+          t2 is answered: Served "answer to t2 0"
         510: t2 0 ends: Ok
         520: t1 1 ends: Ok
         530: t1 0 ends: Ok
-          t1 0 is let go
-          answer to t1: settled of t1 0
-        owed: 0
+          close t1 0
+          t1 is answered: Served "answer to t1 0"
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn the_attempt_that_lost_is_let_go_and_its_late_answer_goes_nowhere() {
-    let mut play = Play::new(TWO);
-    play.arrive(10, "t1", IDEMPOTENT, 20_000);
-    play.pass(6000);
-    play.end(6500, "t1", 1, Outcome::Ok);
-    play.end(6510, "t1", 0, Outcome::Ok);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u2 at 127.0.0.1:2 until 19960
-        5010: wake
-          post t1 1 to u1 at 127.0.0.1:1 until 19960
+fn losing_hedge_is_closed_and_its_late_answer_ignored() {
+    let mut test = TestRouter::new(TWO);
+    test.request_arrives(10, "t1", IDEMPOTENT, 20_000);
+    test.run_until(6000);
+    test.attempt_ends(6500, "t1", 1, Outcome::Ok);
+    test.attempt_ends(6510, "t1", 0, Outcome::Ok);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u2 at 127.0.0.1:2, deadline 19960
+        5010: wakeup
+          send t1 1 to u1 at 127.0.0.1:1, deadline 19960
         6500: t1 1 ends: Ok
-          t1 1 is let go
-          t1 0 is let go
-          answer to t1: settled of t1 1
+          close t1 1
+          close t1 0
+          t1 is answered: Served "answer to t1 1"
         6510: t1 0 ends: Ok
-        owed: 0
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_attempt_is_let_go() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 20_000);
-    play.step(20, Some(RouterEvent::ClientDisconnected { request: "t1".into() }));
-    play.end(500, "t1", 0, Outcome::Ok);
-    play.step(510, Some(RouterEvent::ClientDisconnected { request: "t1".into() }));
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u1 at 127.0.0.1:1 until 19960
-        20: t1 leaves
-          t1 0 is let go
+fn disconnected_client_gets_no_answer_and_its_attempt_is_closed() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 20_000);
+    test.client_disconnects(20, "t1");
+    test.attempt_ends(500, "t1", 0, Outcome::Ok);
+    test.client_disconnects(510, "t1");
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:1, deadline 19960
+        20: client of t1 disconnects
+          close t1 0
         500: t1 0 ends: Ok
-        510: t1 leaves
-        owed: 0
+        510: client of t1 disconnects
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn non_idempotent_goes_again_after_what_never_ran_and_only_then() {
-    let mut play = Play::new(TWO);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 20_000);
-    play.end(20, "t1", 0, Outcome::ConnectFailed);
-    play.end(30, "t1", 1, Outcome::Reset);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u2 at 127.0.0.1:2 until 19960
+fn non_idempotent_request_is_retried_only_after_attempts_that_never_ran() {
+    let mut test = TestRouter::new(TWO);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 20_000);
+    test.attempt_ends(20, "t1", 0, Outcome::ConnectFailed);
+    test.attempt_ends(30, "t1", 1, Outcome::Reset);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u2 at 127.0.0.1:2, deadline 19960
         20: t1 0 ends: ConnectFailed
-          t1 0 is let go
-          post t1 1 to u1 at 127.0.0.1:1 until 19960
+          close t1 0
+          send t1 1 to u1 at 127.0.0.1:1, deadline 19960
         30: t1 1 ends: Reset
-          t1 1 is let go
-          answer to t1: Failed
-        owed: 0
+          close t1 1
+          t1 is answered: Failed
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn a_second_request_of_an_id_in_service_is_refused() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 20_000);
-    play.arrive(20, "t1", NON_IDEMPOTENT, 20_000);
-    play.end(30, "t1", 0, Outcome::Ok);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u1 at 127.0.0.1:1 until 19960
-        20: t1 comes
-          answer to t1: DuplicateId
+fn duplicate_id_of_an_open_request_is_refused() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 20_000);
+    test.request_arrives(20, "t1", NON_IDEMPOTENT, 20_000);
+    test.attempt_ends(30, "t1", 0, Outcome::Ok);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:1, deadline 19960
+        20: t1 arrives
+          t1 is answered: DuplicateId
         30: t1 0 ends: Ok
-          t1 0 is let go
-          answer to t1: settled of t1 0
-        owed: 0
+          close t1 0
+          t1 is answered: Served "answer to t1 0"
+        unanswered: 0
     "#]]);
 }
 
-/// The danger is a stranger who sends an id that he has seen: its effect would happen twice.
+/// Guards against a client that copies the id of another client's request: its effect would happen twice.
 #[test]
-fn an_id_stays_taken_for_a_while_and_no_longer() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 20_000);
-    play.end(500, "t1", 0, Outcome::Ok);
-    play.arrive(600, "t1", NON_IDEMPOTENT, 20_000);
-    play.arrive(50_010, "t1", NON_IDEMPOTENT, 20_000);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u1 at 127.0.0.1:1 until 19960
+fn recent_id_is_refused_until_its_retention_is_over() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 20_000);
+    test.attempt_ends(500, "t1", 0, Outcome::Ok);
+    test.request_arrives(600, "t1", NON_IDEMPOTENT, 20_000);
+    test.request_arrives(50_010, "t1", NON_IDEMPOTENT, 20_000);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:1, deadline 19960
         500: t1 0 ends: Ok
-          t1 0 is let go
-          answer to t1: settled of t1 0
-        600: t1 comes
-          answer to t1: DuplicateId
-        50010: t1 comes
-          watch true
-          post t1 0 to u1 at 127.0.0.1:1 until 69960
-          t1 0 is let go
-        owed: 1
+          close t1 0
+          t1 is answered: Served "answer to t1 0"
+        600: t1 arrives
+          t1 is answered: DuplicateId
+        50010: t1 arrives
+          watch list: true
+          send t1 0 to u1 at 127.0.0.1:1, deadline 69960
+          close t1 0
+        unanswered: 1
     "#]]);
 }
 
 #[test]
-fn what_an_upstream_turns_away_for_the_clients_fault_is_answered_and_goes_nowhere_else() {
-    let mut play = Play::new(TWO);
-    play.arrive(10, "t1", IDEMPOTENT, 20_000);
-    let end = AttemptResult {
+fn client_error_is_answered_without_a_retry() {
+    let mut test = TestRouter::new(TWO);
+    test.request_arrives(10, "t1", IDEMPOTENT, 20_000);
+    let result = AttemptResult {
         outcome: Outcome::Moot,
         final_answer: Some(Answer::ClientError),
         load: Load::default(),
     };
-    play.step(
-        20,
-        Some(RouterEvent::AttemptEnded {
-            attempt: AttemptId { request: "t1".into(), number: 0 },
-            result: end,
-        }),
-    );
-    play.pass(20_000);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u2 at 127.0.0.1:2 until 19960
+    let attempt = AttemptId { request: "t1".into(), number: 0 };
+    test.handle(20, RouterEvent::AttemptEnded { attempt, result });
+    test.run_until(20_000);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u2 at 127.0.0.1:2, deadline 19960
         20: t1 0 ends: Moot
-          t1 0 is let go
-          answer to t1: ClientError
-        5010: wake
-        10010: wake
-        13357: wake
-          watch true
-        owed: 0
+          close t1 0
+          t1 is answered: ClientError
+        5010: wakeup
+        10010: wakeup
+        13357: wakeup
+          watch list: true
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn nothing_leaves_without_time_left_or_with_nobody_to_send_to() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "no-time", IDEMPOTENT, 50);
-    play.pass(5000);
-    play.step(6000, Some(RouterEvent::ListReceived(list(false, &[("u1", 1, "a", "leaving", 0)]))));
-    play.arrive(6010, "no-upstream", IDEMPOTENT, 20_000);
-    play.ends_with(expect![[r#"
-        10: no-time comes
-          answer to no-time: Rejected { retry_after: None }
-        11: wake
-        6000: listed
-        6010: no-upstream comes
-          answer to no-upstream: Rejected { retry_after: None }
-        owed: 0
+fn request_without_time_left_or_upstream_is_rejected_unsent() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "no-time", IDEMPOTENT, 50);
+    test.run_until(5000);
+    test.list_arrives(6000, false, &[("u1", 1, "a", "leaving", 0)]);
+    test.request_arrives(6010, "no-upstream", IDEMPOTENT, 20_000);
+    test.assert_trace(expect![[r#"
+        10: no-time arrives
+          no-time is answered: Rejected { retry_after: None }
+        11: wakeup
+        6000: list received
+        6010: no-upstream arrives
+          no-upstream is answered: Rejected { retry_after: None }
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn a_request_without_an_answer_gets_its_final_one_before_its_deadline() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 5000);
-    play.pass(4959);
-    play.end(4960, "t1", 0, Outcome::TimedOut);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u1 at 127.0.0.1:1 until 4960
+fn request_whose_attempt_times_out_fails_before_its_deadline() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 5000);
+    test.run_until(4959);
+    test.attempt_ends(4960, "t1", 0, Outcome::TimedOut);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:1, deadline 4960
         4960: t1 0 ends: TimedOut
-          t1 0 is let go
-          answer to t1: Failed
-        owed: 0
+          close t1 0
+          t1 is answered: Failed
+        unanswered: 0
     "#]]);
 }
 
-/// The danger is the kill that follows: what it finds unanswered is lost.
+/// Guards against requests without an answer when the process is killed: they would be lost.
 #[test]
-fn when_the_program_ends_every_request_has_its_answer_by_then() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "t1", NON_IDEMPOTENT, 60_000);
-    play.exchange.set_shutdown_deadline(5000);
-    play.arrive(1000, "t2", IDEMPOTENT, 60_000);
-    play.pass(5000);
-    play.arrive(5001, "t3", IDEMPOTENT, 60_000);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u1 at 127.0.0.1:1 until 59960
-        1000: t2 comes
-          post t2 0 to u1 at 127.0.0.1:1 until 5000
-        5000: wake
-          t1 0 is let go
-          t2 0 is let go
-          answer to t1: Failed
-          answer to t2: Rejected { retry_after: None }
-        5001: t3 comes
-          answer to t3: Rejected { retry_after: None }
-        owed: 0
+fn every_request_is_answered_by_the_shutdown_deadline() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 60_000);
+    test.router.set_shutdown_deadline(5000);
+    test.request_arrives(1000, "t2", IDEMPOTENT, 60_000);
+    test.run_until(5000);
+    test.request_arrives(5001, "t3", IDEMPOTENT, 60_000);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:1, deadline 59960
+        1000: t2 arrives
+          send t2 0 to u1 at 127.0.0.1:1, deadline 5000
+        5000: wakeup
+          close t1 0
+          close t2 0
+          t1 is answered: Failed
+          t2 is answered: Rejected { retry_after: None }
+        5001: t3 arrives
+          t3 is answered: Rejected { retry_after: None }
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn lists_move_upstreams_and_lost_ones_are_asked_for_again() {
-    let mut play = Play::new(ONE);
-    play.pass(10_000);
-    play.step(10_010, Some(RouterEvent::ListRefused));
-    play.pass(40_000);
-    play.step(40_010, Some(RouterEvent::ListReceived(list(false, &[("u1", 9, "a", "active", 0)]))));
-    play.arrive(40_020, "t1", IDEMPOTENT, 20_000);
-    play.step(40_030, Some(RouterEvent::ListReceived(list(true, &[("u3", 3, "new", "active", 0)]))));
-    play.arrive(40_040, "t2", IDEMPOTENT, 20_000);
-    play.end(40_050, "t1", 0, Outcome::Ok);
-    play.ends_with(expect![[r#"
-        10010: list lost
-        12720: wake
-          watch true
-        40010: listed
-        40020: t1 comes
-          post t1 0 to u1 at 127.0.0.1:9 until 59970
-        40030: listed
-        40040: t2 comes
-          post t2 0 to u3 at 127.0.0.1:3 until 59990
+fn lists_change_addresses_and_are_requested_again_after_a_refusal() {
+    let mut test = TestRouter::new(ONE);
+    test.run_until(10_000);
+    test.handle(10_010, RouterEvent::ListRefused);
+    test.run_until(40_000);
+    test.list_arrives(40_010, false, &[("u1", 9, "a", "active", 0)]);
+    test.request_arrives(40_020, "t1", IDEMPOTENT, 20_000);
+    test.list_arrives(40_030, true, &[("u3", 3, "new", "active", 0)]);
+    test.request_arrives(40_040, "t2", IDEMPOTENT, 20_000);
+    test.attempt_ends(40_050, "t1", 0, Outcome::Ok);
+    test.assert_trace(expect![[r#"
+        10010: list refused
+        12720: wakeup
+          watch list: true
+        40010: list received
+        40020: t1 arrives
+          send t1 0 to u1 at 127.0.0.1:9, deadline 59970
+        40030: list received
+        40040: t2 arrives
+          send t2 0 to u3 at 127.0.0.1:3, deadline 59990
         40050: t1 0 ends: Ok
-          t1 0 is let go
-          answer to t1: settled of t1 0
-          t2 0 is let go
-        owed: 1
+          close t1 0
+          t1 is answered: Served "answer to t1 0"
+          close t2 0
+        unanswered: 1
     "#]]);
 }
 
 #[test]
-fn a_name_that_the_settings_do_not_know_is_not_taken_for_another() {
-    let mut directory = UpstreamDirectory::new(terms().1, -5000);
+fn unconfigured_zone_gets_its_own_index() {
+    let mut directory = UpstreamDirectory::new(config().1, -5000);
     let zones = [("u1", 1, "b", "active", 0), ("u2", 2, "new", "left", 600), ("u3", 3, "a", "leaving", 400)];
     let entries = directory.apply_list(list(false, &zones));
-    let lines = entries.iter().map(|e| {
-        format!(
-            "{} in zone {} of kind {}: {:?} since {:?}\n",
-            e.upstream, e.zone, e.kind, e.stage, e.started_at
-        )
+    let lines = entries.iter().map(|entry| {
+        let UpstreamEntry { upstream, zone, kind, stage, started_at, .. } = entry;
+        format!("{upstream} in zone {zone} of kind {kind}: {} since {started_at:?}\n", stage_label(*stage))
     });
     expect![[r#"
         u1 in zone 1 of kind 0: Live since None
@@ -468,134 +493,211 @@
 }
 
 #[test]
-fn a_whole_set_is_replaced_at_its_own_addresses_while_attempts_are_out() {
-    let mut play = Play::new(&[("u1", 1, "a", "active", 0), ("u2", 2, "a", "active", 0)]);
-    play.arrive(10, "t1", IDEMPOTENT, 60_000);
-    play.step(
-        20,
-        Some(RouterEvent::ListReceived(list(
-            false,
-            &[("u1", 1, "a", "leaving", 0), ("u2", 2, "a", "leaving", 0)],
-        ))),
-    );
-    play.arrive(30, "declined", IDEMPOTENT, 60_000);
+fn all_upstreams_are_replaced_at_a_reused_address_while_an_attempt_is_open() {
+    let mut test = TestRouter::new(&[("u1", 1, "a", "active", 0), ("u2", 2, "a", "active", 0)]);
+    test.request_arrives(10, "t1", IDEMPOTENT, 60_000);
+    test.list_arrives(20, false, &[("u1", 1, "a", "leaving", 0), ("u2", 2, "a", "leaving", 0)]);
+    test.request_arrives(30, "t2", IDEMPOTENT, 60_000);
     let replaced = [("u1", 1, "a", "left", 0), ("u2", 2, "a", "left", 0), ("u3", 1, "a", "active", 0)];
-    play.step(40, Some(RouterEvent::ListReceived(list(false, &replaced))));
-    play.arrive(50, "t2", IDEMPOTENT, 60_000);
-    play.end(60, "t1", 0, Outcome::Ok);
-    play.end(70, "t2", 0, Outcome::Ok);
-    play.ends_with(expect![[r#"
-        10: t1 comes
-          post t1 0 to u2 at 127.0.0.1:2 until 59960
-        20: listed
-        30: declined comes
-          answer to declined: Rejected { retry_after: None }
-        40: listed
-        50: t2 comes
-          post t2 0 to u3 at 127.0.0.1:1 until 60000
+    test.list_arrives(40, false, &replaced);
+    test.request_arrives(50, "t3", IDEMPOTENT, 60_000);
+    test.attempt_ends(60, "t1", 0, Outcome::Ok);
+    test.attempt_ends(70, "t3", 0, Outcome::Ok);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to u2 at 127.0.0.1:2, deadline 59960
+        20: list received
+        30: t2 arrives
+          t2 is answered: Rejected { retry_after: None }
+        40: list received
+        50: t3 arrives
+          send t3 0 to u3 at 127.0.0.1:1, deadline 60000
         60: t1 0 ends: Ok
-          t1 0 is let go
-          answer to t1: settled of t1 0
-        70: t2 0 ends: Ok
-          t2 0 is let go
-          answer to t2: settled of t2 0
-        owed: 0
+          close t1 0
+          t1 is answered: Served "answer to t1 0"
+        70: t3 0 ends: Ok
+          close t3 0
+          t3 is answered: Served "answer to t3 0"
+        unanswered: 0
     "#]]);
 }
 
 #[test]
-fn what_left_and_names_nobody_has_any_more_are_forgotten_and_no_number_is_used_twice() {
-    let mut directory = UpstreamDirectory::new(terms().1, 0);
-    let (mut sizes, mut zones) = (Vec::new(), std::collections::BTreeSet::new());
-    let mut last = String::new();
-    for n in 0..2000 {
-        let (id, zone) = (format!("s{n}"), format!("zone {n}"));
-        let mut change = list(false, &[(&id, 4000, &zone, "active", 0), (&last, 4000, "a", "left", 0)]);
-        change.targets[0].kind = format!("kind {n}");
-        zones.insert(directory.apply_list(change)[0].zone);
-        last = id;
-        if n == 200 || n == 1999 {
-            sizes.push(directory.counts());
+fn removed_upstreams_and_unused_names_are_forgotten_and_no_index_is_reused() {
+    let mut directory = UpstreamDirectory::new(config().1, 0);
+    let (mut counts, mut zones) = (Vec::new(), BTreeSet::new());
+    let mut previous = String::new();
+    for number in 0..2000 {
+        let (name, zone) = (format!("s{number}"), format!("zone {number}"));
+        let mut changes =
+            list(false, &[(&name, 4000, &zone, "active", 0), (&previous, 4000, "a", "left", 0)]);
+        changes.targets[0].kind = format!("kind {number}");
+        zones.insert(directory.apply_list(changes)[0].zone);
+        previous = name;
+        if number == 200 || number == 1999 {
+            counts.push(directory.counts());
         }
     }
-    expect!["[1, 1, 1] at a tenth, [1, 1, 1] at the end, 2000 numbers for as many zones"].assert_eq(
+    expect!["[1, 1, 1] at a tenth, [1, 1, 1] at the end, 2000 indexes for as many zones"].assert_eq(
         &format!(
-            "{:?} at a tenth, {:?} at the end, {} numbers for as many zones",
-            sizes[0],
-            sizes[1],
+            "{} at a tenth, {} at the end, {} indexes for as many zones",
+            counts[0],
+            counts[1],
             zones.len()
         ),
     );
 }
 
 #[test]
-fn a_long_list_that_names_each_twice_leaves_one_place_for_each_and_a_short_one_forgets_the_rest() {
-    let mut directory = UpstreamDirectory::new(terms().1, 0);
-    let ids: Vec<String> = (0..10_000).map(|n| format!("s{}", n % 5000)).collect();
-    let targets: Vec<_> = ids.iter().map(|id| (&**id, 4000, "a", "active", 0)).collect();
-    let entries = directory.apply_list(list(true, &targets));
-    let known = directory.counts();
-    directory.apply_list(list(true, &targets[..30]));
+fn repeated_entries_leave_one_location_each_and_a_snapshot_removes_missing_upstreams() {
+    let mut directory = UpstreamDirectory::new(config().1, 0);
+    let names: Vec<String> = (0..10_000).map(|number| format!("s{}", number % 5000)).collect();
+    let upstreams: Vec<ListedUpstream> = names.iter().map(|name| (&**name, 4000, "a", "active", 0)).collect();
+    let entries = directory.apply_list(list(true, &upstreams));
+    let counts = directory.counts();
+    directory.apply_list(list(true, &upstreams[..30]));
     expect!["10000 entries, [5000, 0, 0] known, then [30, 0, 0]"].assert_eq(&format!(
-        "{} entries, {known:?} known, then {:?}",
+        "{} entries, {counts} known, then {}",
         entries.len(),
         directory.counts()
     ));
 }
 
-/// The danger is a balancer that serves with a part of its list, or sends to who has been removed.
+/// Guards against a balancer that serves with a part of its list, or that still sends to an upstream after it has
+/// confirmed its removal to the control servers.
 #[test]
-fn records_are_in_force_once_told_and_the_first_whole_state_makes_ready() {
-    let mut play = Play::new(ONE);
-    play.exchange.await_first_snapshot();
-    let change = |play: &mut Play, now, targets, removed: &[&str], completes| {
-        let mut upstreams = list(false, targets);
+fn changes_are_in_force_once_confirmed_and_the_first_snapshot_makes_the_router_ready() {
+    let mut test = TestRouter::new(ONE);
+    test.router.await_first_snapshot();
+    let change = |test: &mut TestRouter, now, upstreams, removed: &[&str], completes_snapshot| {
+        let mut upstreams = list(false, upstreams);
         upstreams.removed = removed.iter().map(ToString::to_string).collect();
-        let (applied, mut is_applied) = oneshot::channel();
-        play.step(
-            now,
-            Some(RouterEvent::UpstreamsChanged {
-                upstreams,
-                completes_snapshot: completes,
-                applied_sender: applied,
-            }),
-        );
-        assert!(is_applied.try_recv().is_ok());
-        play.exchange.has_upstreams()
+        let (applied_sender, mut applied) = oneshot::channel();
+        test.handle(now, RouterEvent::UpstreamsChanged { upstreams, completes_snapshot, applied_sender });
+        assert!(applied.try_recv().is_ok());
+        test.router.has_upstreams()
     };
-    let two = &TWO[1..];
-    let mut ready = vec![play.exchange.has_upstreams()];
-    ready.push(change(&mut play, 10, two, &["unknown"], false));
-    ready.push(change(&mut play, 20, &[], &["u1"], true));
-    play.arrive(30, "a", 0, 1000);
-    play.end(40, "a", 0, Outcome::Ok);
-    ready.push(change(&mut play, 50, &[], &["u2"], false));
+    let second = &TWO[1..];
+    let mut ready = vec![test.router.has_upstreams()];
+    ready.push(change(&mut test, 10, second, &["unknown"], false));
+    ready.push(change(&mut test, 20, &[], &["u1"], true));
+    test.request_arrives(30, "a", 0, 1000);
+    test.attempt_ends(40, "a", 0, Outcome::Ok);
+    ready.push(change(&mut test, 50, &[], &["u2"], false));
     assert_eq!(ready, [false, false, true, false]);
-    play.ends_with(expect![[r#"
-        10: changed, removed: [1, 1], completes: false
-        20: changed, removed: [0, 1], completes: true
-        30: a comes
-          post a 0 to u2 at 127.0.0.1:2 until 980
+    test.assert_trace(expect![[r#"
+        10: upstreams changed: 1, removed: 1, completes snapshot: false
+        20: upstreams changed: 0, removed: 1, completes snapshot: true
+        30: a arrives
+          send a 0 to u2 at 127.0.0.1:2, deadline 980
         40: a 0 ends: Ok
-          a 0 is let go
-          answer to a: settled of a 0
-        50: changed, removed: [0, 1], completes: false
-        owed: 0
+          close a 0
+          a is answered: Served "answer to a 0"
+        50: upstreams changed: 0, removed: 1, completes snapshot: false
+        unanswered: 0
+    "#]]);
+}
+
+/// Guards against an incident in which the log doesn't say why requests were refused.
+#[test]
+fn metrics_count_give_up_reasons_outcomes_and_failed_calls() {
+    let mut test = TestRouter::new(ONE);
+    test.request_arrives(10, "a", IDEMPOTENT, 1000);
+    test.attempt_ends(20, "a", 0, Outcome::Ok);
+    test.request_arrives(30, "b", NON_IDEMPOTENT, 1000);
+    test.attempt_ends(40, "b", 0, Outcome::Reset);
+    test.list_arrives(50, false, &[("u1", 1, "a", "left", 0)]);
+    test.request_arrives(60, "c", IDEMPOTENT, 1000);
+    test.handle(70, RouterEvent::ListRefused);
+    test.handle(80, RouterEvent::DiscoveryUnreachable);
+    test.handle(90, RouterEvent::WatchTimedOut);
+    expect!["requests=3 served=1 left=0 rejected.NoUpstream=1 failed.AttemptsFailed=1 attempts=2 ended.Ok=1 ended.Reset=1 lists=1 calls_refused=1 calls_unreached=1 calls_silent=1"].assert_eq(&test.router.metrics().to_string());
+}
+
+#[test]
+fn unwritten_attempts_are_withdrawn_when_their_client_disconnects_or_their_upstream_drains() {
+    let mut test = TestRouter::new(&[(UNCONNECTED_UPSTREAM, 1, "a", "active", 0)]);
+    test.request_arrives(10, "t1", NON_IDEMPOTENT, 20_000);
+    test.request_arrives(20, "t2", NON_IDEMPOTENT, 20_000);
+    test.client_disconnects(30, "t1");
+    test.list_arrives(40, false, &[(UNCONNECTED_UPSTREAM, 1, "a", "leaving", 0)]);
+    test.assert_trace(expect![[r#"
+        10: t1 arrives
+          send t1 0 to unconnected at 127.0.0.1:1, deadline 19960
+        20: t2 arrives
+          send t2 0 to unconnected at 127.0.0.1:1, deadline 19970
+        30: client of t1 disconnects
+          close t1 0
+        40: list received
+          close t2 0
+          t2 is answered: Rejected { retry_after: None }
+        unanswered: 0
     "#]]);
 }
 
-/// The danger is an incident without a word on why requests were refused.
+/// Guards against a renamed enum variant that changes what operators read in the log and in the metrics line.
 #[test]
-fn the_metrics_tell_why_requests_were_given_up_and_what_became_of_attempts_and_calls() {
-    let mut play = Play::new(ONE);
-    play.arrive(10, "a", IDEMPOTENT, 1000);
-    play.end(20, "a", 0, Outcome::Ok);
-    play.arrive(30, "b", NON_IDEMPOTENT, 1000);
-    play.end(40, "b", 0, Outcome::Reset);
-    play.step(50, Some(RouterEvent::ListReceived(list(false, &[("u1", 1, "a", "left", 0)]))));
-    play.arrive(60, "c", IDEMPOTENT, 1000);
-    play.step(70, Some(RouterEvent::ListRefused));
-    play.step(80, Some(RouterEvent::DiscoveryUnreachable));
-    play.step(90, Some(RouterEvent::WatchTimedOut));
-    expect!["requests=3 served=1 left=0 rejected.NoUpstream=1 failed.AttemptsFailed=1 attempts=2 ended.Ok=1 ended.Reset=1 lists=1 calls_refused=1 calls_unreached=1 calls_silent=1"].assert_eq(&play.exchange.metrics().to_string());
+fn labels_of_outcomes_reasons_and_stages_stay_the_same() {
+    let outcomes = successors(Some(Outcome::Ok), |outcome| next_outcome(*outcome)).map(outcome_label);
+    let reasons = successors(Some(GiveUpReason::NoUpstream), |reason| next_reason(*reason));
+    let stages = successors(Some(Stage::Live), |stage| next_stage(*stage)).map(stage_label);
+    let outcomes: Vec<_> = outcomes.collect();
+    let reasons: Vec<_> = reasons.map(give_up_reason_label).collect();
+    let stages: Vec<_> = stages.collect();
+    assert_eq!(
+        outcomes,
+        ["Ok", "Error", "Full", "TimedOut", "ConnectFailed", "Reset", "Spoilt", "Cancelled", "Moot"]
+    );
+    assert_eq!(
+        reasons,
+        [
+            "NoUpstream",
+            "StaleList",
+            "WindowOver",
+            "TooLong",
+            "NoTimeLeft",
+            "Overload",
+            "ForeseenLate",
+            "AttemptsFailed"
+        ]
+    );
+    assert_eq!(stages, ["Live", "Draining", "Gone"]);
+}
+
+// The variants in their order, each with the next. A new variant doesn't compile until it is added here, and thereby to
+// the test of the labels.
+
+fn next_outcome(outcome: Outcome) -> Option<Outcome> {
+    match outcome {
+        Outcome::Ok => Some(Outcome::Error),
+        Outcome::Error => Some(Outcome::Full),
+        Outcome::Full => Some(Outcome::TimedOut),
+        Outcome::TimedOut => Some(Outcome::ConnectFailed),
+        Outcome::ConnectFailed => Some(Outcome::Reset),
+        Outcome::Reset => Some(Outcome::Spoilt),
+        Outcome::Spoilt => Some(Outcome::Cancelled),
+        Outcome::Cancelled => Some(Outcome::Moot),
+        Outcome::Moot => None,
+    }
+}
+
+fn next_reason(reason: GiveUpReason) -> Option<GiveUpReason> {
+    match reason {
+        GiveUpReason::NoUpstream => Some(GiveUpReason::StaleList),
+        GiveUpReason::StaleList => Some(GiveUpReason::WindowOver),
+        GiveUpReason::WindowOver => Some(GiveUpReason::TooLong),
+        GiveUpReason::TooLong => Some(GiveUpReason::NoTimeLeft),
+        GiveUpReason::NoTimeLeft => Some(GiveUpReason::Overload),
+        GiveUpReason::Overload => Some(GiveUpReason::ForeseenLate),
+        GiveUpReason::ForeseenLate => Some(GiveUpReason::AttemptsFailed),
+        GiveUpReason::AttemptsFailed => None,
+    }
+}
+
+fn next_stage(stage: Stage) -> Option<Stage> {
+    match stage {
+        Stage::Live => Some(Stage::Draining),
+        Stage::Draining => Some(Stage::Gone),
+        Stage::Gone => None,
+    }
 }
