--- a/crates/pondlb-server/src/protocol/answer.rs
+++ b/crates/pondlb-server/src/protocol/answer.rs
@@ -1,4 +1,4 @@
-//! What became of a request, in no protocol's words.
+//! The final answer of a request, independent of the protocol in which the client gets it.
 
 use pondlb::TenthMillis;
 
@@ -7,19 +7,23 @@
 /// The final answer of a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
+    /// The answer of an upstream.
     Served(Message),
+    /// The request has had no effect.
     Rejected {
+        /// How long the client should wait before it tries again.
         retry_after: Option<TenthMillis>,
     },
+    /// The request was given up, but may have run.
     Failed,
-    /// Upstreams turn it away for what the client sent.
+    /// An upstream refused the request because of what the client sent.
     ClientError,
-    /// Its id is that of another request that is being served, or was a moment ago; it is refused.
+    /// The request was refused because its id is that of another request that is open or recent.
     DuplicateId,
 }
 
 impl Answer {
-    /// For the log.
+    /// The name of the answer in the log.
     pub fn log_name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "settled",
--- a/crates/pondlb-server/src/protocol/control.rs
+++ b/crates/pondlb-server/src/protocol/control.rs
@@ -1,4 +1,4 @@
-//! Records of the control protocol: what an update changes.
+//! Splits an update of the control protocol into changes of upstreams and changes of settings.
 
 use std::borrow::Cow;
 
@@ -9,47 +9,46 @@
 
 /// The upstreams that an update adds, changes or removes.
 pub fn upstream_list(update: Update) -> UpstreamList {
-    let mut upstreams = UpstreamList { version: update.version.revision, ..UpstreamList::default() };
+    let mut list = UpstreamList { version: update.version.revision, ..UpstreamList::default() };
     for Change { key, value, .. } in update.changes {
         let Some(value) = value else {
-            upstreams.removed.push(key.name().to_string());
+            list.removed.push(key.name().to_string());
             continue;
         };
         match Target::read(key.name(), value.get()) {
-            Ok(target) => upstreams.targets.push(target),
-            // It was checked before the update was taken.
+            Ok(target) => list.targets.push(target),
+            // Unexpected, since records are checked before an update is accepted.
             Err(fault) => log::error!("control: {key}: {fault}"),
         }
     }
-    upstreams
+    list
 }
 
-/// Classes, tenants and limits that an update changes, in the order in which they are put in force.
+/// The classes, tenants and limits that an update changes, in the order in which they are to be put in force.
 #[derive(Clone, Debug, Default)]
 pub struct SettingRecords {
-    /// They may need each other, so they change together.
+    /// Put in force together, since they may depend on each other.
     pub classes_and_limits: Vec<Change>,
-    /// There may be many, and none needs another.
+    /// May be many, and don't depend on each other.
     pub tenants: Vec<Change>,
 }
 
-/// Takes what is no upstream out of an update.
+/// Moves the changes of settings out of an update, which keeps those of upstreams.
 pub fn take_setting_records(update: &mut Update) -> SettingRecords {
-    let mut settings = SettingRecords::default();
-    let changes = std::mem::take(&mut update.changes);
-    for change in changes {
+    let mut records = SettingRecords::default();
+    for change in std::mem::take(&mut update.changes) {
         match change.key.kind() {
             Kind::Upstream => update.changes.push(change),
-            Kind::Tenant => settings.tenants.push(change),
-            Kind::Class | Kind::Limit => settings.classes_and_limits.push(change),
+            Kind::Tenant => records.tenants.push(change),
+            Kind::Class | Kind::Limit => records.classes_and_limits.push(change),
         }
     }
-    // A class that takes another's place comes before that one goes, or there might be none between.
-    settings.classes_and_limits.sort_by_key(|change| change.value.is_none());
-    settings
+    // Removals come last: if a class replaces the only one, there must be no moment without any class.
+    records.classes_and_limits.sort_by_key(|change| change.value.is_none());
+    records
 }
 
-/// A record as the settings take it.
+/// Converts a record to a change of the settings.
 pub fn setting_change(change: &Change) -> SettingChange<'_> {
     let value = change.value.as_ref().map(|value| Cow::Borrowed(value.get()));
     SettingChange { key: Cow::Borrowed(change.key.as_str()), value }
--- a/crates/pondlb-server/src/protocol/mod.rs
+++ b/crates/pondlb-server/src/protocol/mod.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 as state machines that are fed bytes and know no socket and no clock. Messages are read by `pondlb-http`;
-//! the sides here know what they mean.
+//! HTTP/1.1 between clients, the balancer, upstreams and discovery, and the records of control servers, without sockets
+//! or clocks. Messages are decoded by readers that are fed bytes, and encoded to bytes. `pondlb-http` parses the
+//! messages; the modules here interpret them.
 
 pub mod answer;
 pub mod client;
@@ -8,7 +9,3 @@
 #[cfg(test)]
 mod tests;
 pub mod upstream;
-
-/// Answers may be longer than requests: upstreams were seen to give some of 400 KB. What says it is longer than this is
-/// no answer, and would never end.
-pub const MAX_RESPONSE_BODY_BYTES: usize = 1024 * 1024;
