--- a/crates/pondlb-server/src/routing/mod.rs
+++ b/crates/pondlb-server/src/routing/mod.rs
@@ -3,16 +3,16 @@
 
 mod directory;
 mod events;
+mod interface;
 mod labels;
 mod metrics;
 mod recent_ids;
 mod router;
 #[cfg(test)]
 mod tests;
-mod transport;
 
 pub use directory::UpstreamDirectory;
 pub use events::{AttemptId, AttemptResult, RouterEvent};
+pub use interface::{AttemptHandle, OutgoingAttempt, Transport};
 pub use metrics::Metrics;
 pub use router::Router;
-pub use transport::{AttemptHandle, OutgoingAttempt, Transport};
