--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -19,10 +19,10 @@
 
 use super::live_settings::{LiveSettings, overload_retry_after};
 use super::setup::{Setup, StartupSettings};
-use crate::protocol::client::Classes;
+use crate::protocol::client::ClassIndexes;
 use crate::protocol::control::setting_change;
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::{Directory, Exchange, Metrics, Note};
+use crate::routing::{Metrics, Router, RouterEvent, UpstreamDirectory};
 use crate::transport::{
     Backoff, CallTimeouts, Clock, ConnectionTable, ControlFollower, DiscoveryCommand, Frontend, ListLimit,
     OutboundTransport, Phase, SettingsUpdate, UpstreamPool, accept_connections, follow_control_servers,
@@ -94,8 +94,8 @@
 pub struct Service {
     phase: watch::Sender<Phase>,
     clock: Clock,
-    exchange: Exchange<OutboundTransport>,
-    exchange_rx: mpsc::UnboundedReceiver<Note>,
+    exchange: Router<OutboundTransport>,
+    exchange_rx: mpsc::UnboundedReceiver<RouterEvent>,
     /// Changes of settings from control servers; closed if none are followed.
     settings_rx: mpsc::UnboundedReceiver<SettingsUpdate>,
     /// Records from control servers that are not valid together with the current settings.
@@ -166,7 +166,7 @@
         });
         spawn_local(accept_connections(listener, frontend.clone()));
         let live_settings = LiveSettings { settings: setup.settings, frontend, pool: pool.clone() };
-        let directory = Directory::new(setup.deployment.names, clock.unix_epoch());
+        let directory = UpstreamDirectory::new(setup.deployment.names, clock.unix_epoch());
         let balancer = Balancer::new(balancer_config, setup.seed);
         if let Some(discovery) = setup.discovery {
             let limit =
@@ -204,13 +204,13 @@
             discovery_tx: discovery_tx.clone(),
             probe: setup.probe,
         };
-        let mut exchange = Exchange::new(balancer, directory, transport, ANSWER_SLACK);
+        let mut exchange = Router::new(balancer, directory, transport, ANSWER_SLACK);
         if setup.control.is_some() {
-            exchange.await_state();
+            exchange.await_first_snapshot();
         }
         let confirmed_at =
             setup.control.is_none().then(|| initial_list_confirmed_at(&setup.initial_list, clock.now()));
-        exchange.remember(clock.now(), setup.initial_list, confirmed_at);
+        exchange.restore_list(clock.now(), setup.initial_list, confirmed_at);
         log::info!("{} listens on {address}: {}", setup.name, setup.budget);
         Ok(Service {
             phase,
@@ -239,7 +239,7 @@
         let mut batch = Vec::with_capacity(MAX_NOTES_PER_STEP);
         while !self.is_over() {
             self.update_phase();
-            let exchange_wake = self.exchange.wake_at().map(|at| self.clock.instant_of(at));
+            let exchange_wake = self.exchange.next_wakeup().map(|at| self.clock.instant_of(at));
             let shutdown_wake = self.next_shutdown_step().filter(|at| *at > Instant::now());
             let next_wake = exchange_wake.into_iter().chain(shutdown_wake).min();
             let is_running = self.shutdown_began_at.is_none();
@@ -253,7 +253,7 @@
                 () = self.connections.slot_freed.notified(), if self.is(Phase::Closing) => {}
                 () = sleep_until(next_wake.unwrap_or_else(Instant::now)), if next_wake.is_some() => {}
             }
-            self.exchange.step(self.clock.now(), batch.drain(..));
+            self.exchange.handle_events(self.clock.now(), batch.drain(..));
             if self.last_metrics.at.elapsed() >= METRICS_LOG_INTERVAL {
                 self.log_metrics();
             }
@@ -308,7 +308,7 @@
         if let (Some(new_address), Some(old_address)) = (new.discovery, self.startup_settings.discovery)
             && new_address != old_address
         {
-            self.exchange.move_discovery(self.clock.now());
+            self.exchange.discovery_address_changed(self.clock.now());
             let _ended = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
             self.startup_settings.discovery = Some(new_address);
         }
@@ -359,7 +359,7 @@
         while let Ok(note) = self.exchange_rx.try_recv() {
             received.push(note);
         }
-        self.exchange.step(self.clock.now(), received);
+        self.exchange.handle_events(self.clock.now(), received);
     }
 
     /// Adapts the timeline of a later shutdown to the settings. The timeline of a shutdown under way does not change.
@@ -371,7 +371,7 @@
 
     fn begin_shutdown(&mut self) {
         self.shutdown_began_at = Some(Instant::now());
-        self.exchange.end_by(self.clock.now() + self.shutdown.answers_due_after);
+        self.exchange.set_shutdown_deadline(self.clock.now() + self.shutdown.answers_due_after);
     }
 
     fn is(&self, phase: Phase) -> bool {
@@ -390,7 +390,7 @@
         let phase = match self.shutdown_began_at {
             Some(began_at) if began_at.elapsed() >= self.shutdown.closing_after => Phase::Closing,
             Some(_) => Phase::Leaving,
-            None if self.exchange.knows_upstreams() && self.may_serve() => Phase::Serving,
+            None if self.exchange.has_upstreams() && self.may_serve() => Phase::Serving,
             None => Phase::Starting,
         };
         self.phase.send_if_modified(|current| {
@@ -408,7 +408,7 @@
         let is_out_of_time =
             self.shutdown_began_at.is_some_and(|began_at| began_at.elapsed() >= self.shutdown.exit_after);
         let is_idle = self.connections.is_empty() || is_out_of_time;
-        self.is(Phase::Closing) && self.exchange.owed() == 0 && is_idle
+        self.is(Phase::Closing) && self.exchange.unanswered_count() == 0 && is_idle
     }
 }
 
@@ -437,8 +437,8 @@
 }
 
 /// Maps the names of classes, which requests carry, to their numbers. If a name occurs twice, the first one counts.
-fn class_numbers(names: &[String]) -> Classes {
-    let mut classes = Classes::new();
+fn class_numbers(names: &[String]) -> ClassIndexes {
+    let mut classes = ClassIndexes::new();
     for (number, name) in (0..).zip(names) {
         classes.entry(name.clone()).or_insert(number);
     }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -18,9 +18,10 @@
 use super::stream::{ReceiveState, read_available, read_into, receive_state, wait_until_closed, write_all};
 use crate::protocol::answer::Answer;
 use crate::protocol::client::{
-    Asked, Classes, ClientSide, LEAVE_TO_SEND, Wish, write_answer, write_fault, write_health, write_too_slow,
+    CONTINUE_RESPONSE, ClassIndexes, ClientRequest, RequestKind, RequestReader, encode_answer,
+    encode_error_response, encode_health_response, encode_timeout_response,
 };
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// A connection is closed when no further request has arrived for this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -31,7 +32,7 @@
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The client must have accepted an answer within this time, or slow clients would pin memory.
 const ANSWER_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection is read after its write side was shut down. Closing it over unread bytes would reset it, and
+/// How long a connection is read after its write reader was shut down. Closing it over unread bytes would reset it, and
 /// the client could lose the last answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// How much is read at most from a lingering connection. Reading all of a huge rejected body would take processor time
@@ -45,19 +46,19 @@
 pub struct Frontend {
     pub connections: Rc<ConnectionTable>,
     /// The classes that requests may name.
-    pub classes: RefCell<Classes>,
+    pub classes: RefCell<ClassIndexes>,
     /// The wait advised to clients whose requests are rejected for overload before they reach the exchange; none is
     /// advised where it is `None`.
     pub overload_retry_after: Cell<Option<TenthMillis>>,
     /// Where requests, and clients that disconnect, are reported.
-    pub exchange_tx: mpsc::UnboundedSender<Note>,
+    pub exchange_tx: mpsc::UnboundedSender<RouterEvent>,
     pub phase: watch::Receiver<Phase>,
 }
 
 /// What comes next on a connection.
 enum NextStep {
     /// A complete request has arrived.
-    Serve(Asked),
+    Serve(ClientRequest),
     /// The input is not a valid request.
     RejectMalformed(MessageError),
     /// The request did not arrive in time.
@@ -86,24 +87,24 @@
     /// Serves the requests of one connection until it ends.
     pub async fn serve(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
         let _unset = stream.set_nodelay(true);
-        let mut side = ClientSide::new();
+        let mut reader = RequestReader::new();
         let mut is_used = false;
         loop {
-            let step = self.next_step(&stream, &mut side, &slot, is_used).await;
+            let step = self.next_step(&stream, &mut reader, &slot, is_used).await;
             is_used = true;
             let (bytes, is_last) = match step {
-                NextStep::Serve(asked) => match self.serve_request(&stream, &mut side, asked).await {
+                NextStep::Serve(asked) => match self.serve_request(&stream, &mut reader, asked).await {
                     Some(answer) => answer,
                     None => return,
                 },
                 NextStep::RejectMalformed(error) => {
                     log::debug!("rejected a malformed request: {error}");
-                    (write_fault(error), true)
+                    (encode_error_response(error), true)
                 }
-                NextStep::RejectSlow => (write_too_slow(), true),
+                NextStep::RejectSlow => (encode_timeout_response(), true),
                 NextStep::RejectOverload => {
-                    let answer = Answer::Rejected { cool_down: self.overload_retry_after.get() };
-                    (write_answer(&answer, true), true)
+                    let answer = Answer::Rejected { retry_after: self.overload_retry_after.get() };
+                    (encode_answer(&answer, true), true)
                 }
                 NextStep::CloseIdle => return close_gracefully(&stream, slot).await,
                 NextStep::Disconnected => return,
@@ -123,34 +124,36 @@
     async fn next_step(
         &self,
         stream: &TcpStream,
-        side: &mut ClientSide,
+        reader: &mut RequestReader,
         slot: &ConnectionSlot,
         is_used: bool,
     ) -> NextStep {
         let mut phase = self.phase.clone();
         let mut receiving = None;
         loop {
-            match side.next(&self.classes.borrow()) {
+            match reader.next_request(&self.classes.borrow()) {
                 Ok(Some(_)) if self.connections.must_reject_request() => return NextStep::RejectOverload,
-                Ok(Some(asked)) if !asked.is_health() && slot.is_excess() => return NextStep::RejectOverload,
+                Ok(Some(asked)) if !asked.is_health_check() && slot.is_excess() => {
+                    return NextStep::RejectOverload;
+                }
                 Ok(Some(asked)) => return NextStep::Serve(asked),
                 Ok(None) => {}
                 Err(error) => return NextStep::RejectMalformed(error),
             }
             // Rejects the request before its body is read: the bodies of hundreds of requests at once would not fit
             // into memory.
-            if !side.is_idle() && (slot.is_excess() || self.connections.must_reject_request()) {
+            if !reader.is_idle() && (slot.is_excess() || self.connections.must_reject_request()) {
                 return NextStep::RejectOverload;
             }
-            if side.wants_leave_to_send() && write_all(stream, LEAVE_TO_SEND).await.is_err() {
+            if reader.take_expect_continue() && write_all(stream, CONTINUE_RESPONSE).await.is_err() {
                 return NextStep::Disconnected;
             }
-            let read = if side.is_idle() {
+            let read = if reader.is_idle() {
                 let eviction = if is_used { slot.mark_idle() } else { slot.mark_unused() };
                 let idle_timeout = if is_used { IDLE_TIMEOUT } else { FIRST_REQUEST_TIMEOUT };
                 tokio::select! {
                     biased;
-                    read = read_into(stream, side.input()) => read,
+                    read = read_into(stream, reader.message_reader()) => read,
                     () = idle_end(&mut phase, &eviction, idle_timeout) => {
                         // A request that has arrived meanwhile is served; the client would have to send it again
                         // otherwise.
@@ -169,7 +172,7 @@
                     .get_or_insert_with(|| (Instant::now() + REQUEST_READ_TIMEOUT, slot.mark_receiving()));
                 tokio::select! {
                     biased;
-                    read = read_into(stream, side.input()) => read,
+                    read = read_into(stream, reader.message_reader()) => read,
                     () = eviction.evicted() => return NextStep::RejectSlow,
                     () = sleep_until(*deadline) => return NextStep::RejectSlow,
                 }
@@ -185,31 +188,31 @@
     async fn serve_request(
         &self,
         stream: &TcpStream,
-        side: &mut ClientSide,
-        asked: Asked,
+        reader: &mut RequestReader,
+        asked: ClientRequest,
     ) -> Option<(Vec<u8>, bool)> {
         let has_discarded_input = Cell::new(false);
         let is_last =
             |asked_last| asked_last || has_discarded_input.get() || *self.phase.borrow() >= Phase::Closing;
-        let (arrival, message) = match asked.wish {
-            Wish::Health => {
+        let (arrival, message) = match asked.kind {
+            RequestKind::HealthCheck => {
                 let is_ready = *self.phase.borrow() == Phase::Serving;
-                let is_last = is_last(asked.last);
-                return Some((write_health(is_ready, is_last), is_last));
+                let is_last = is_last(asked.is_last);
+                return Some((encode_health_response(is_ready, is_last), is_last));
             }
-            Wish::Request { arrival, message } => (arrival, message),
+            RequestKind::Forward { arrival, message } => (arrival, message),
         };
         let request = arrival.request.clone();
-        let (answer, mut answered) = oneshot::channel();
-        self.exchange_tx.send(Note::Arrived { arrival, message, answer }).ok()?;
+        let (answer_sender, mut answer) = oneshot::channel();
+        self.exchange_tx.send(RouterEvent::RequestArrived { arrival, message, answer_sender }).ok()?;
         tokio::select! {
             biased;
-            answer = &mut answered => {
+            answer = &mut answer => {
                 let answer = answer.ok()?;
-                let is_last = is_last(asked.last) || answer == Answer::Duplicate;
-                Some((write_answer(&answer, is_last), is_last))
+                let is_last = is_last(asked.is_last) || answer == Answer::DuplicateId;
+                Some((encode_answer(&answer, is_last), is_last))
             }
-            () = wait_for_disconnect(stream, side, &has_discarded_input) => {
+            () = wait_for_disconnect(stream, reader, &has_discarded_input) => {
                 self.report_disconnect(request);
                 None
             }
@@ -218,7 +221,7 @@
 
     fn report_disconnect(&self, request: RequestId) {
         // The exchange outlives every connection but at the very end, when no answer is due any more.
-        let _ended = self.exchange_tx.send(Note::Left { request });
+        let _ended = self.exchange_tx.send(RouterEvent::ClientDisconnected { request });
     }
 }
 
@@ -232,12 +235,16 @@
     }
 }
 
-/// Returns when the client closes its side. Requests that it pipelines meanwhile are kept as far as the read buffer
+/// Returns when the client closes its reader. Requests that it pipelines meanwhile are kept as far as the read buffer
 /// reaches. Beyond that, input is read and discarded, since a close is seen only after everything sent before it; then
 /// no pipelined request is served.
-async fn wait_for_disconnect(stream: &TcpStream, side: &mut ClientSide, has_discarded_input: &Cell<bool>) {
-    while !side.input().spare_capacity_mut().is_empty() {
-        if !matches!(read_into(stream, side.input()).await, Ok(1..)) {
+async fn wait_for_disconnect(
+    stream: &TcpStream,
+    reader: &mut RequestReader,
+    has_discarded_input: &Cell<bool>,
+) {
+    while !reader.message_reader().spare_capacity_mut().is_empty() {
+        if !matches!(read_into(stream, reader.message_reader()).await, Ok(1..)) {
             return;
         }
     }
@@ -247,7 +254,7 @@
     }
 }
 
-/// Reads and discards input. Returns true when the peer has closed its side, and false after `max_bytes`.
+/// Reads and discards input. Returns true when the peer has closed its reader, and false after `max_bytes`.
 async fn discard_input(stream: &TcpStream, max_bytes: usize) -> bool {
     let (mut buffer, mut remaining) = (vec![0; 16 * 1024], max_bytes);
     while let Ok(count @ 1..) = read_available(stream, &mut buffer).await {
@@ -261,7 +268,7 @@
     true
 }
 
-/// Shuts down the write side and reads for a moment what the client sent before it noticed. Closing the connection over
+/// Shuts down the write reader and reads for a moment what the client sent before it noticed. Closing the connection over
 /// unread bytes would reset it, and the client could lose an answer that it has not read yet. Nothing read here is
 /// served.
 async fn close_gracefully(stream: &TcpStream, slot: ConnectionSlot) {
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::protocol::control::{SettingRecords, take_settings, upstreams_of};
+use crate::protocol::control::{SettingRecords, take_setting_records, upstream_list};
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// How many records are applied at once. Requests are served between one step of an update and the next.
 const MAX_RECORDS_PER_STEP: usize = 64;
@@ -56,7 +56,7 @@
 pub async fn follow_control_servers(
     control: ControlServers,
     follower: ControlFollower,
-    exchange_tx: mpsc::UnboundedSender<Note>,
+    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
 ) {
     let ControlFollower { name, number, seed, max_snapshot_bytes, settings_tx, status, initial_upstreams } =
         follower;
@@ -73,7 +73,7 @@
 
 /// Applies updates one after the other, settings before upstreams. Its methods return `None` when the program ends.
 struct UpdateApplier {
-    exchange_tx: mpsc::UnboundedSender<Note>,
+    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
     settings_tx: mpsc::UnboundedSender<SettingsUpdate>,
     /// See [`ControlFollower::initial_upstreams`]; empty after the first snapshot.
     initial_upstreams: BTreeSet<String>,
@@ -94,7 +94,7 @@
     }
 
     async fn apply(&mut self, mut update: Update) -> Option<()> {
-        self.apply_settings(take_settings(&mut update)).await?;
+        self.apply_settings(take_setting_records(&mut update)).await?;
         let removed_upstreams = self.initial_upstreams_not_in(&update);
         for names in removed_upstreams.chunks(MAX_RECORDS_PER_STEP) {
             let removal = UpstreamList { removed: names.to_vec(), ..UpstreamList::default() };
@@ -103,7 +103,7 @@
         let is_snapshot = update.is_whole_state;
         for slice in update.into_batches(MAX_RECORDS_PER_STEP) {
             let completes = is_snapshot && !slice.has_more;
-            self.apply_upstreams(upstreams_of(slice), completes).await?;
+            self.apply_upstreams(upstream_list(slice), completes).await?;
         }
         Some(())
     }
@@ -135,7 +135,13 @@
     /// `completes` says that a snapshot is applied completely with these upstreams.
     async fn apply_upstreams(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
         let (applied, is_applied) = oneshot::channel();
-        self.exchange_tx.send(Note::Changed { upstreams, completes, applied }).ok()?;
+        self.exchange_tx
+            .send(RouterEvent::UpstreamsChanged {
+                upstreams,
+                completes_snapshot: completes,
+                applied_sender: applied,
+            })
+            .ok()?;
         is_applied.await.ok()
     }
 
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::error::CallError;
-use crate::protocol::discovery::{DiscoverySide, NoList, UpstreamList, write_call};
+use crate::protocol::discovery::{ChangesQuery, ListError, ListReader, UpstreamList, encode_list_request};
 use crate::transport::stream::{ReceiveState, read_into, receive_state, write_all};
 
 /// How long connecting may take. The kernel repeats a lost handshake only after a second; giving up sooner reaches a
@@ -49,7 +49,10 @@
     /// belongs to the call while it lasts, so that cancelling the call closes it.
     pub async fn call(&mut self, since: Option<ChangesSince>) -> Result<UpstreamList, CallError> {
         let called_at = Instant::now();
-        let request = write_call(self.address, since.map(|since| (since.version, since.hold.as_millis())));
+        let request = encode_list_request(
+            self.address,
+            since.map(|since| ChangesQuery { from_version: since.version, hold_ms: since.hold.as_millis() }),
+        );
         let is_open = |kept: &TcpStream| receive_state(kept) == ReceiveState::Empty;
         if let Some(kept) = self.kept.take().filter(is_open) {
             match self.exchange(kept, &request).await {
@@ -70,18 +73,18 @@
         let called_at = Instant::now();
         let written = write_all(&stream, request).await;
         written.map_err(|error| CallError::from_io_error("the call", &error))?;
-        let mut side = DiscoverySide::new(self.max_list_bytes);
+        let mut reader = ListReader::new(self.max_list_bytes);
         loop {
-            let read = read_into(&stream, side.input()).await;
+            let read = read_into(&stream, reader.message_reader()).await;
             let count = read.map_err(|error| CallError::from_io_error("the answer", &error))?;
-            side.count_received(count);
+            reader.count_received_bytes(count);
             let is_closed = count == 0;
-            if is_closed && side.is_idle() {
+            if is_closed && reader.is_idle() {
                 return Err(CallError::ConnectionBroken("connection closed without an answer".into()));
             }
-            match side.next(is_closed).map_err(|reason| self.answer_error(reason, called_at))? {
+            match reader.next_list(is_closed).map_err(|reason| self.answer_error(reason, called_at))? {
                 Some(listed) => {
-                    self.kept = listed.keep.then_some(stream);
+                    self.kept = listed.keep_alive.then_some(stream);
                     return Ok(listed.list);
                 }
                 None if is_closed => {
@@ -92,15 +95,17 @@
         }
     }
 
-    fn answer_error(&self, reason: NoList, called_at: Instant) -> CallError {
+    fn answer_error(&self, reason: ListError, called_at: Instant) -> CallError {
         match reason {
             // Discovery rejects calls from a full queue sooner than this. An error status that comes so late is a
             // proxy's, which did not reach discovery.
-            NoList::Status(line) if called_at.elapsed() > self.queue_margin * 2 / 3 => {
+            ListError::Status(line) if called_at.elapsed() > self.queue_margin * 2 / 3 => {
                 CallError::Unreachable(line)
             }
-            NoList::Status(reason) | NoList::Faulty(reason) => CallError::Rejected(reason),
-            NoList::TooLong { size, limit } => CallError::ListTooLong { size, limit },
+            ListError::Status(reason) | ListError::Invalid(reason) => CallError::Rejected(reason),
+            ListError::TooLong { size_bytes, limit_bytes } => {
+                CallError::ListTooLong { size: size_bytes, limit: limit_bytes }
+            }
         }
     }
 }
--- a/crates/pondlb-server/src/transport/discovery/error.rs
+++ b/crates/pondlb-server/src/transport/discovery/error.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// While calls keep failing for the same reason, it is logged as a warning once in this time.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
@@ -49,13 +49,13 @@
     }
 
     /// How the failure is reported to the exchange.
-    pub fn to_note(&self) -> Note {
+    pub fn to_note(&self) -> RouterEvent {
         match self {
-            CallError::TimedOut => Note::WatchSilent,
+            CallError::TimedOut => RouterEvent::WatchTimedOut,
             CallError::ConnectTimedOut | CallError::Unreachable(_) | CallError::ConnectionBroken(_) => {
-                Note::ListUnreached
+                RouterEvent::DiscoveryUnreachable
             }
-            CallError::Rejected(_) | CallError::ListTooLong { .. } => Note::ListLost,
+            CallError::Rejected(_) | CallError::ListTooLong { .. } => RouterEvent::ListRefused,
         }
     }
 }
