--- a/crates/pondlb-control-net/benches/follow.rs
+++ b/crates/pondlb-control-net/benches/follow.rs
@@ -23,7 +23,7 @@
     Key, KeyInterner, Limits, NewChange, Progress, RecordKind, Replica, ReplicaRequest, ReplicaResponse,
     Store, Version,
 };
-use pondlb_control_net::{CheckRecord, Following, Status, check_record, follow};
+use pondlb_control_net::{FollowerConfig, FollowerStatus, ValidateRecord, follow, validate_record};
 use serde::Serialize;
 use serde_json::value::RawValue;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -51,15 +51,15 @@
         arguments.get(position).and_then(|text| text.parse().ok()).unwrap_or(default)
     };
     let (followers, states) = (number(1, 4), number(2, 3));
-    let check: CheckRecord = match arguments.get(3).map(String::as_str) {
+    let check: ValidateRecord = match arguments.get(3).map(String::as_str) {
         Some("any") => |_, _| Ok(()),
-        _ => check_record,
+        _ => validate_record,
     };
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, measure(followers, states, check));
 }
 
-async fn measure(followers: usize, states: usize, check: CheckRecord) {
+async fn measure(followers: usize, states: usize, check: ValidateRecord) {
     let (answers, versions) = prepare(states);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     let server = listener.local_addr().expect("its address");
@@ -79,14 +79,14 @@
 async fn follow_through(
     server: SocketAddr,
     names: KeyInterner,
-    check: CheckRecord,
+    check: ValidateRecord,
     versions: &[Version],
 ) -> Vec<Duration> {
-    let mut following = Following::new(vec![server], NAME, 0);
-    (following.hold, following.names) = (HOLD, names);
+    let mut following = FollowerConfig::new(vec![server], NAME, 0);
+    (following.max_hold, following.key_interner) = (HOLD, names);
     let (deliver, mut delivered) = mpsc::unbounded_channel();
     let longest_poll = Rc::new(Cell::new(Duration::ZERO));
-    let follower = follow(following, check, deliver, Rc::new(Status::default()));
+    let follower = follow(following, check, deliver, Rc::new(FollowerStatus::default()));
     let follower = spawn_local(Timed { future: Box::pin(follower), longest: longest_poll.clone() });
     let mut longest = Vec::new();
     let (mut started, mut records) = (Instant::now(), 0);
@@ -101,7 +101,7 @@
                 longest.push(longest_poll.take());
                 (started, records) = (Instant::now(), 0);
             }
-            news.in_force.send(()).expect("the follower waits");
+            news.applied.send(()).expect("the follower waits");
             if is_last {
                 break;
             }
@@ -161,11 +161,11 @@
     let mut replica = Replica::new(Limits::default(), KeyInterner::default());
     let (mut answers, mut versions) = (Answers::new(), Vec::new());
     for changes in commits.iter().take(states) {
-        let version = store.commit(changes, &check_record).expect("records that balancers take");
+        let version = store.commit(changes, &validate_record).expect("records that balancers take");
         while replica.version() != version || !replica.is_in_sync() {
             let call = replica.next_request(HOLD);
             let (answer, encoded) = answer(&store, &call);
-            let progress = replica.receive(answer, &check_record).expect("an answer that is taken");
+            let progress = replica.receive(answer, &validate_record).expect("an answer that is taken");
             assert!(!matches!(progress, Progress::Unchanged));
             answers.insert(call.target(NAME), encoded);
         }
--- a/crates/pondlb-control-net/src/check.rs
+++ b/crates/pondlb-control-net/src/check.rs
@@ -7,14 +7,14 @@
 use pondlb_terms::{SettingChange, Target};
 
 /// Says whether a value may be taken for a record, or the record be removed, and why not.
-pub type CheckRecord = fn(&Key, Option<&str>) -> Result<(), String>;
+pub type ValidateRecord = fn(&Key, Option<&str>) -> Result<(), String>;
 
 /// Takes any JSON object for an upstream, a class or a tenant, and any scalar for a limit: for a server that hands
 /// records on, also to balancers that know more of them than it does.
 ///
 /// # Errors
 /// Says what is accepted, where the value is of another shape.
-pub fn check_shape(key: &Key, value: Option<&str>) -> Result<(), String> {
+pub fn validate_json_shape(key: &Key, value: Option<&str>) -> Result<(), String> {
     let Some(value) = value else { return Ok(()) };
     let first = value.trim_start().bytes().next();
     let is_object = first == Some(b'{');
@@ -32,8 +32,8 @@
 ///
 /// # Errors
 /// Says what is wrong with the value.
-pub fn check_record(key: &Key, value: Option<&str>) -> Result<(), String> {
-    check_shape(key, value)?;
+pub fn validate_record(key: &Key, value: Option<&str>) -> Result<(), String> {
+    validate_json_shape(key, value)?;
     match (key.kind(), value) {
         (RecordKind::Upstream, Some(value)) => Target::read(key.name(), value).map(drop),
         (RecordKind::Upstream, None) => Ok(()),
--- a/crates/pondlb-control-net/src/client/driver.rs
+++ b/crates/pondlb-control-net/src/client/driver.rs
@@ -15,8 +15,8 @@
 
 use super::failure::{Failure, ToldFailures};
 use super::link::Link;
-use super::status::Status;
-use super::{Delivered, Following, REFUSED};
+use super::status::FollowerStatus;
+use super::{FollowerConfig, REFUSED, UpdateDelivery};
 use crate::options::MOST_PIECE_BYTES;
 
 /// How long a call may take that is answered at once.
@@ -35,11 +35,11 @@
 
 /// Follows the servers with one replica.
 pub struct Driver<C> {
-    following: Following,
+    following: FollowerConfig,
     name: String,
     check: C,
-    deliver: mpsc::UnboundedSender<Delivered>,
-    status: Rc<Status>,
+    deliver: mpsc::UnboundedSender<UpdateDelivery>,
+    status: Rc<FollowerStatus>,
     replica: Replica,
     rotation: Rotation,
     link: Link,
@@ -57,15 +57,15 @@
 
 impl<C: Fn(&Key, Option<&str>) -> Result<(), String>> Driver<C> {
     pub fn new(
-        following: Following,
+        following: FollowerConfig,
         check: C,
-        deliver: mpsc::UnboundedSender<Delivered>,
-        status: Rc<Status>,
+        deliver: mpsc::UnboundedSender<UpdateDelivery>,
+        status: Rc<FollowerStatus>,
     ) -> Driver<C> {
         Driver {
             name: following.caller_name(),
-            replica: Replica::new(following.limits, following.names.clone()),
-            rotation: Rotation::new(following.servers.len(), following.number, following.seed),
+            replica: Replica::new(following.limits, following.key_interner.clone()),
+            rotation: Rotation::new(following.servers.len(), following.follower_number, following.seed),
             following,
             check,
             deliver,
@@ -92,7 +92,7 @@
 
     /// One call and all that it brings; how long to wait before the next one.
     async fn call_once(&mut self) -> Result<Option<Duration>, Failure> {
-        let call = self.replica.next_request(self.following.hold);
+        let call = self.replica.next_request(self.following.max_hold);
         self.count_begun(&call);
         let called = Instant::now();
         let answer = self.ask(&call).await?;
@@ -102,7 +102,7 @@
         self.rotation.record_success();
         let in_sync = self.replica.is_in_sync();
         self.status.count(|counters| {
-            counters.answers += 1;
+            counters.accepted_responses += 1;
             counters.in_sync = in_sync;
         });
         match progress {
@@ -138,7 +138,9 @@
         let server = self.server();
         self.status.note_server(server);
         let within = match call {
-            ReplicaRequest::Changes { hold: LongPoll::UpTo(hold), .. } => *hold + self.following.late,
+            ReplicaRequest::Changes { hold: LongPoll::UpTo(hold), .. } => {
+                *hold + self.following.response_grace
+            }
             _ => ANSWER_WITHIN,
         };
         let target = self.target(call);
@@ -151,7 +153,7 @@
 
     fn target(&self, call: &ReplicaRequest) -> String {
         let target = call.target(&self.name);
-        match (call, self.status.counters().refused) {
+        match (call, self.status.counters().unapplied_records) {
             (ReplicaRequest::Changes { .. }, refused @ 1..) => format!("{target}&{REFUSED}={refused}"),
             _ => target,
         }
@@ -171,7 +173,7 @@
         let (version, changes) = (update.version, update.changes.len());
         let (in_force, is_in_force) = oneshot::channel();
         // Without its receiver the whole driver ends at its next wait.
-        let _ended = self.deliver.send(Delivered { update, in_force });
+        let _ended = self.deliver.send(UpdateDelivery { update, applied: in_force });
         if is_in_force.await.is_ok() {
             self.status.note_in_force(version, changes);
         }
@@ -181,8 +183,8 @@
     fn go_on_after(&mut self, failure: Failure) -> Duration {
         let server = self.server();
         match &failure {
-            Failure::Rejected(_) => self.status.count(|counters| counters.rejections += 1),
-            _ => self.status.count(|counters| counters.failures += 1),
+            Failure::Rejected(_) => self.status.count(|counters| counters.rejected_responses += 1),
+            _ => self.status.count(|counters| counters.failed_requests += 1),
         }
         if self.told.is_due(&failure) {
             log::warn!("control: {server}: {failure}");
@@ -214,8 +216,8 @@
 
     fn count_begun(&self, call: &ReplicaRequest) {
         self.status.count(|counters| match call {
-            ReplicaRequest::Snapshot { after: None } => counters.snapshots += 1,
-            ReplicaRequest::Digests => counters.repairs += 1,
+            ReplicaRequest::Snapshot { after: None } => counters.snapshots_started += 1,
+            ReplicaRequest::Digests => counters.repairs_started += 1,
             _ => {}
         });
     }
--- a/crates/pondlb-control-net/src/client/link.rs
+++ b/crates/pondlb-control-net/src/client/link.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::failure::Failure;
-use super::status::Status;
+use super::status::FollowerStatus;
 use crate::coding;
 use crate::http::get;
 
@@ -39,7 +39,7 @@
         server: SocketAddr,
         target: &str,
         most_content: usize,
-        status: &Status,
+        status: &FollowerStatus,
     ) -> Result<Vec<u8>, Failure> {
         let called = Instant::now();
         if let Some((_, stream)) = self.kept.take().filter(|(address, _)| *address == server) {
@@ -59,7 +59,7 @@
         mut stream: TcpStream,
         target: &str,
         most_content: usize,
-        status: &Status,
+        status: &FollowerStatus,
     ) -> Result<Vec<u8>, Failure> {
         let request = get(server, target);
         status.note_call(request.len());
--- a/crates/pondlb-control-net/src/client/mod.rs
+++ b/crates/pondlb-control-net/src/client/mod.rs
@@ -14,27 +14,27 @@
 
 use crate::options::{MOST_NAME, is_caller_name};
 use driver::Driver;
-pub use status::{Counters, Status};
+pub use status::{FollowerCounters, FollowerStatus};
 
 /// What to follow, and how.
 #[derive(Clone, Debug)]
-pub struct Following {
+pub struct FollowerConfig {
     /// The control servers; one at least.
     pub servers: Vec<SocketAddr>,
     /// Name towards the servers: letters, digits, `-`, `_` and `.`; others are replaced.
     pub name: String,
     /// Own number among the followers, which are spread over the servers by it.
-    pub number: u64,
+    pub follower_number: u64,
     /// Where chance starts from, for waits between calls.
     pub seed: u64,
     /// How long a server may wait for news before it answers.
-    pub hold: Duration,
+    pub max_hold: Duration,
     /// How much later than that an answer may come before the server is held to be silent.
-    pub late: Duration,
+    pub response_grace: Duration,
     /// What is taken at most.
     pub limits: Limits,
     /// Keys that are shared with other replicas of the process.
-    pub names: KeyInterner,
+    pub key_interner: KeyInterner,
 }
 
 /// The parameter of calls for changes that tells how many records could not be put in force.
@@ -43,18 +43,18 @@
 const DEFAULT_HOLD: Duration = Duration::from_secs(1);
 const DEFAULT_LATE: Duration = Duration::from_millis(300);
 
-impl Following {
+impl FollowerConfig {
     /// Follows these servers with the default times and limits.
-    pub fn new(servers: Vec<SocketAddr>, name: &str, number: u64) -> Following {
-        Following {
+    pub fn new(servers: Vec<SocketAddr>, name: &str, number: u64) -> FollowerConfig {
+        FollowerConfig {
             servers,
             name: name.into(),
-            number,
+            follower_number: number,
             seed: number,
-            hold: DEFAULT_HOLD,
-            late: DEFAULT_LATE,
+            max_hold: DEFAULT_HOLD,
+            response_grace: DEFAULT_LATE,
             limits: Limits::default(),
-            names: KeyInterner::default(),
+            key_interner: KeyInterner::default(),
         }
     }
 
@@ -69,19 +69,19 @@
 
 /// A verified update on its way to the consumer.
 #[derive(Debug)]
-pub struct Delivered {
+pub struct UpdateDelivery {
     /// What to put in force.
     pub update: Update,
     /// To be told once it is in force: the next call leaves then, and tells the server so.
-    pub in_force: oneshot::Sender<()>,
+    pub applied: oneshot::Sender<()>,
 }
 
 /// Follows the servers until the receiver of updates is gone. `check` says whether a value may be taken.
 pub async fn follow(
-    following: Following,
+    following: FollowerConfig,
     check: impl Fn(&Key, Option<&str>) -> Result<(), String>,
-    deliver: mpsc::UnboundedSender<Delivered>,
-    status: Rc<Status>,
+    deliver: mpsc::UnboundedSender<UpdateDelivery>,
+    status: Rc<FollowerStatus>,
 ) {
     if following.servers.is_empty() {
         return log::error!("control: there is no server to follow");
--- a/crates/pondlb-control-net/src/client/status.rs
+++ b/crates/pondlb-control-net/src/client/status.rs
@@ -9,23 +9,23 @@
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub struct FollowerCounters {
     /// Calls made, repeated ones included.
-    pub calls: u64,
+    pub requests_sent: u64,
     /// Answers that were taken.
-    pub answers: u64,
+    pub accepted_responses: u64,
     /// Calls that brought no answer that can be read.
-    pub failures: u64,
+    pub failed_requests: u64,
     /// Answers that were read and rejected.
-    pub rejections: u64,
+    pub rejected_responses: u64,
     /// Snapshots begun.
-    pub snapshots: u64,
+    pub snapshots_started: u64,
     /// Repairs begun.
-    pub repairs: u64,
+    pub repairs_started: u64,
     /// Updates in force.
-    pub updates: u64,
+    pub applied_updates: u64,
     /// Changes in them.
-    pub changes: u64,
+    pub applied_changes: u64,
     /// Bytes written to servers, heads of requests included.
     pub bytes_sent: u64,
     /// Bytes read from servers, heads of answers included.
@@ -35,7 +35,7 @@
     /// The last digest compared was right.
     pub in_sync: bool,
     /// Records of the version in force that the consumer could not put in force.
-    pub refused: u64,
+    pub unapplied_records: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -47,9 +47,9 @@
 
 /// State of a follower.
 #[derive(Debug)]
-pub struct Status {
+pub struct FollowerStatus {
     started: Instant,
-    counters: Cell<Counters>,
+    counters: Cell<FollowerCounters>,
     heard: Cell<Option<Heard>>,
     server: Cell<Option<SocketAddr>>,
 }
@@ -58,9 +58,9 @@
 const STALE: Duration = Duration::from_secs(10);
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 
-impl Default for Status {
-    fn default() -> Status {
-        Status {
+impl Default for FollowerStatus {
+    fn default() -> FollowerStatus {
+        FollowerStatus {
             started: Instant::now(),
             counters: Cell::default(),
             heard: Cell::default(),
@@ -69,19 +69,19 @@
     }
 }
 
-impl Status {
+impl FollowerStatus {
     /// What has been counted so far.
-    pub fn counters(&self) -> Counters {
+    pub fn counters(&self) -> FollowerCounters {
         self.counters.get()
     }
 
     /// The server that is called.
-    pub fn server(&self) -> Option<SocketAddr> {
+    pub fn current_server(&self) -> Option<SocketAddr> {
         self.server.get()
     }
 
     /// How long ago a server has answered with what is in force.
-    pub fn last_heard(&self) -> Option<Duration> {
+    pub fn time_since_last_response(&self) -> Option<Duration> {
         self.heard.get().map(|heard| heard.at.elapsed())
     }
 
@@ -92,11 +92,11 @@
     }
 
     /// So many records of the version in force could not be put in force; servers are told with each call.
-    pub fn note_refused(&self, refused: u64) {
-        self.count(|counters| counters.refused = refused);
+    pub fn set_unapplied_records(&self, refused: u64) {
+        self.count(|counters| counters.unapplied_records = refused);
     }
 
-    pub(super) fn count(&self, change: impl FnOnce(&mut Counters)) {
+    pub(super) fn count(&self, change: impl FnOnce(&mut FollowerCounters)) {
         let mut counters = self.counters.get();
         change(&mut counters);
         self.counters.set(counters);
@@ -108,7 +108,7 @@
 
     pub(super) fn note_call(&self, bytes: usize) {
         self.count(|counters| {
-            counters.calls += 1;
+            counters.requests_sent += 1;
             counters.bytes_sent += bytes as u64;
         });
     }
@@ -120,8 +120,8 @@
     pub(super) fn note_in_force(&self, version: Version, changes: usize) {
         self.count(|counters| {
             counters.version = version;
-            counters.updates += 1;
-            counters.changes += changes as u64;
+            counters.applied_updates += 1;
+            counters.applied_changes += changes as u64;
         });
     }
 
--- a/crates/pondlb-control-net/src/lib.rs
+++ b/crates/pondlb-control-net/src/lib.rs
@@ -11,7 +11,7 @@
 mod options;
 mod server;
 
-pub use check::{CheckRecord, check_record, check_shape};
-pub use client::{Counters, Delivered, Following, Status, follow};
-pub use options::{OptionsFault, Role, ServerOptions};
+pub use check::{ValidateRecord, validate_json_shape, validate_record};
+pub use client::{FollowerConfig, FollowerCounters, FollowerStatus, UpdateDelivery, follow};
+pub use options::{OptionsError, Role, ServerOptions};
 pub use server::{Server, serve};
--- a/crates/pondlb-control-net/src/main.rs
+++ b/crates/pondlb-control-net/src/main.rs
@@ -49,7 +49,7 @@
     let arguments = Arguments::parse();
     let level = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(level).format_timestamp_millis().init();
-    let options = match ServerOptions::read(&arguments.file) {
+    let options = match ServerOptions::from_file(&arguments.file) {
         Ok(options) => options,
         Err(faults) => {
             faults.iter().for_each(|fault| log::error!("{fault}"));
--- a/crates/pondlb-control-net/src/options.rs
+++ b/crates/pondlb-control-net/src/options.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
-use crate::check::{CheckRecord, check_record, check_shape};
+use crate::check::{ValidateRecord, validate_json_shape, validate_record};
 
 /// What a control server is in its group.
 #[derive(Clone, Debug)]
@@ -17,18 +17,18 @@
     /// It numbers the changes.
     Origin {
         /// Where changes are committed; none where the initial records are never changed.
-        commit: Option<SocketAddr>,
+        commit_address: Option<SocketAddr>,
         /// The records to begin with.
-        initial: Vec<NewChange>,
+        initial_records: Vec<NewChange>,
         /// The epoch of its numbers; greater than that of any origin before it.
         epoch: u64,
     },
     /// It follows another control server and serves what that one has.
     Replica {
         /// The servers to follow, the preferred one first where `number` is 0.
-        follow: Vec<SocketAddr>,
+        servers: Vec<SocketAddr>,
         /// How long they may wait for news.
-        hold: Duration,
+        max_hold: Duration,
     },
 }
 
@@ -38,29 +38,29 @@
     /// Name in the log and towards the servers that it follows.
     pub name: String,
     /// Its number among the replica servers, so that each begins with another of the servers that it follows.
-    pub number: u64,
+    pub follower_number: u64,
     /// Address for followers.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Origin or replica.
     pub role: Role,
     /// Least time between two answers with news to one follower.
-    pub gather: Duration,
+    pub min_update_interval: Duration,
     /// Most bytes of changes in one answer.
-    pub piece_bytes: usize,
+    pub max_changes_bytes: usize,
     /// Most connections of followers.
-    pub followers: usize,
+    pub max_follower_connections: usize,
     /// What the process may use.
-    pub memory_mb: usize,
+    pub memory_limit_mib: usize,
     /// How many pieces of snapshots it gives in a second.
-    pub snapshot_pieces_per_second: f64,
+    pub snapshot_pages_per_second: f64,
     /// What an origin checks before it commits. A replica server takes what is in shape, as it may be older than the
     /// balancers that it serves.
-    pub check: CheckRecord,
+    pub validate: ValidateRecord,
 }
 
 /// What is wrong with one key of an options file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OptionsFault {
+pub struct OptionsError {
     /// The file.
     pub file: PathBuf,
     /// The key; none where the file as a whole is meant.
@@ -69,7 +69,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for OptionsFault {
+impl fmt::Display for OptionsError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         write!(to, "{}: ", self.file.display())?;
         if let Some(key) = self.key {
@@ -111,15 +111,15 @@
     pub fn new(listen: SocketAddr, role: Role) -> ServerOptions {
         ServerOptions {
             name: default_name(listen),
-            number: 0,
-            listen,
+            follower_number: 0,
+            listen_address: listen,
             role,
-            gather: Duration::from_millis(DEFAULT_GATHER_MS),
-            piece_bytes: DEFAULT_PIECE_BYTES,
-            followers: DEFAULT_FOLLOWERS,
-            memory_mb: DEFAULT_MEMORY_MB,
-            snapshot_pieces_per_second: DEFAULT_SNAPSHOT_PIECES,
-            check: check_shape,
+            min_update_interval: Duration::from_millis(DEFAULT_GATHER_MS),
+            max_changes_bytes: DEFAULT_PIECE_BYTES,
+            max_follower_connections: DEFAULT_FOLLOWERS,
+            memory_limit_mib: DEFAULT_MEMORY_MB,
+            snapshot_pages_per_second: DEFAULT_SNAPSHOT_PIECES,
+            validate: validate_json_shape,
         }
     }
 
@@ -127,8 +127,8 @@
     ///
     /// # Errors
     /// Everything that is wrong with it at once, so that nobody mends one fault only to meet the next.
-    pub fn read(file: &Path) -> Result<ServerOptions, Vec<OptionsFault>> {
-        let whole = |reason| vec![OptionsFault { file: file.to_path_buf(), key: None, reason }];
+    pub fn from_file(file: &Path) -> Result<ServerOptions, Vec<OptionsError>> {
+        let whole = |reason| vec![OptionsError { file: file.to_path_buf(), key: None, reason }];
         let text = std::fs::read_to_string(file).map_err(|error| whole(error.to_string()))?;
         let table: Table = text.parse().map_err(|error: toml::de::Error| whole(error.to_string()))?;
         let mut fields = Fields { file, table, faults: Vec::new() };
@@ -140,26 +140,26 @@
     }
 
     /// What the store may hold: half of the memory, since a whole state that is taken stands beside the one before.
-    pub fn limits(&self) -> Limits {
-        Limits { max_total_bytes: (self.memory_mb << 20) / 2, ..Limits::default() }
+    pub fn store_limits(&self) -> Limits {
+        Limits { max_total_bytes: (self.memory_limit_mib << 20) / 2, ..Limits::default() }
     }
 
     /// The longest body of a commit.
-    pub fn commit_bytes(&self) -> usize {
-        (self.memory_mb << 20) / 8
+    pub fn max_commit_bytes(&self) -> usize {
+        (self.memory_limit_mib << 20) / 8
     }
 
     /// The store that the server begins with.
     ///
     /// # Errors
     /// [`CommitError`] where the initial records are refused.
-    pub fn store(&self) -> Result<Store, CommitError> {
+    pub fn initial_store(&self) -> Result<Store, CommitError> {
         match &self.role {
-            Role::Replica { .. } => Ok(Store::new(0, self.limits())),
-            Role::Origin { initial, epoch, .. } => {
-                let mut store = Store::new(*epoch, self.limits());
+            Role::Replica { .. } => Ok(Store::new(0, self.store_limits())),
+            Role::Origin { initial_records: initial, epoch, .. } => {
+                let mut store = Store::new(*epoch, self.store_limits());
                 if !initial.is_empty() {
-                    store.commit(initial, &self.check)?;
+                    store.commit(initial, &self.validate)?;
                 }
                 Ok(store)
             }
@@ -171,7 +171,7 @@
 struct Fields<'a> {
     file: &'a Path,
     table: Table,
-    faults: Vec<OptionsFault>,
+    faults: Vec<OptionsError>,
 }
 
 impl Fields<'_> {
@@ -195,16 +195,16 @@
         let pieces = self.within("snapshot_pieces_per_second", DEFAULT_SNAPSHOT_PIECES, 1.0, 1e6);
         let options = ServerOptions {
             name,
-            number,
-            gather: Duration::from_millis(gather_ms),
-            piece_bytes,
-            followers,
-            memory_mb,
-            snapshot_pieces_per_second: pieces,
-            check: check_record,
+            follower_number: number,
+            min_update_interval: Duration::from_millis(gather_ms),
+            max_changes_bytes: piece_bytes,
+            max_follower_connections: followers,
+            memory_limit_mib: memory_mb,
+            snapshot_pages_per_second: pieces,
+            validate: validate_record,
             ..ServerOptions::new(listen?, role?)
         };
-        if let Err(error) = options.store() {
+        if let Err(error) = options.initial_store() {
             self.refuse("initial", error.to_string());
         }
         Some(options)
@@ -225,7 +225,11 @@
                 self.refuse("epoch", "0: 1 or more is accepted".into());
             }
             let initial = initial.map_or(Some(Vec::new()), |initial| self.initial(&initial))?;
-            return Some(Role::Origin { commit, initial, epoch: epoch.unwrap_or_else(epoch_of_now) });
+            return Some(Role::Origin {
+                commit_address: commit,
+                initial_records: initial,
+                epoch: epoch.unwrap_or_else(epoch_of_now),
+            });
         }
         for key in ["commit", "initial", "epoch"] {
             if self.table.contains_key(key) {
@@ -236,7 +240,7 @@
         if follow.is_empty() {
             self.refuse("follow", "one address or more is accepted".into());
         }
-        Some(Role::Replica { follow, hold: Duration::from_millis(hold_ms) })
+        Some(Role::Replica { servers: follow, max_hold: Duration::from_millis(hold_ms) })
     }
 
     /// The initial records; the path is relative to the options file.
@@ -260,12 +264,12 @@
             self.table.keys().filter(|key| !KEYS.contains(&key.as_str())).cloned().collect();
         for key in unknown {
             let reason = format!("{key}: no such key; accepted are {}", KEYS.join(", "));
-            self.faults.push(OptionsFault { file: self.file.to_path_buf(), key: None, reason });
+            self.faults.push(OptionsError { file: self.file.to_path_buf(), key: None, reason });
         }
     }
 
     fn refuse(&mut self, key: &'static str, reason: String) {
-        self.faults.push(OptionsFault { file: self.file.to_path_buf(), key: Some(key), reason });
+        self.faults.push(OptionsError { file: self.file.to_path_buf(), key: Some(key), reason });
     }
 
     fn optional<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
--- a/crates/pondlb-control-net/src/server/calls.rs
+++ b/crates/pondlb-control-net/src/server/calls.rs
@@ -63,7 +63,7 @@
             return;
         }
     }
-    let gathered = pace.last_news.filter(|_| !pace.more).map(|at| at + state.options().gather);
+    let gathered = pace.last_news.filter(|_| !pace.more).map(|at| at + state.options().min_update_interval);
     if let Some(gathered) = gathered {
         sleep_until(gathered.min(until)).await;
     }
--- a/crates/pondlb-control-net/src/server/connection.rs
+++ b/crates/pondlb-control-net/src/server/connection.rs
@@ -67,7 +67,7 @@
 
 /// Serves one who commits changes, until the connection ends.
 pub async fn serve_committer(state: Rc<State>, stream: TcpStream) {
-    let mut connection = Connection::new(stream, state.options().commit_bytes());
+    let mut connection = Connection::new(stream, state.options().max_commit_bytes());
     loop {
         let response = match connection.next().await {
             Incoming::Over => return,
--- a/crates/pondlb-control-net/src/server/mod.rs
+++ b/crates/pondlb-control-net/src/server/mod.rs
@@ -22,8 +22,8 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::sleep;
 
-use crate::check::check_shape;
-use crate::client::{self, Delivered, Following, follow};
+use crate::check::validate_json_shape;
+use crate::client::{self, FollowerConfig, UpdateDelivery, follow};
 use crate::options::{Role, ServerOptions};
 use connection::{serve_committer, serve_follower, turn_away};
 use state::State;
@@ -40,7 +40,7 @@
 /// A control server that listens.
 pub struct Server {
     state: Rc<State>,
-    following: Option<(Following, Rc<client::Status>)>,
+    following: Option<(FollowerConfig, Rc<client::FollowerStatus>)>,
     listener: TcpListener,
     committers: Option<TcpListener>,
 }
@@ -60,19 +60,21 @@
     /// # Errors
     /// Where it can't listen, or the initial records are refused.
     pub fn bind(options: ServerOptions) -> io::Result<Server> {
-        let store =
-            options.store().map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
-        let listener = listen("listen", options.listen)?;
+        let store = options
+            .initial_store()
+            .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
+        let listener = listen("listen", options.listen_address)?;
         let committers = match &options.role {
-            Role::Origin { commit: Some(address), .. } => Some(listen("commit", *address)?),
+            Role::Origin { commit_address: Some(address), .. } => Some(listen("commit", *address)?),
             _ => None,
         };
         let following = match &options.role {
             Role::Origin { .. } => None,
-            Role::Replica { follow, hold } => {
-                let mut following = Following::new(follow.clone(), &options.name, options.number);
-                (following.hold, following.limits) = (*hold, options.limits());
-                Some((following, Rc::new(client::Status::default())))
+            Role::Replica { servers: follow, max_hold: hold } => {
+                let mut following =
+                    FollowerConfig::new(follow.clone(), &options.name, options.follower_number);
+                (following.max_hold, following.limits) = (*hold, options.store_limits());
+                Some((following, Rc::new(client::FollowerStatus::default())))
             }
         };
         let status = following.as_ref().map(|(_, status)| status.clone());
@@ -86,7 +88,7 @@
     ///
     /// # Errors
     /// As the system tells.
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub fn listen_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
@@ -99,15 +101,16 @@
     }
 
     /// State of its own following; none at the origin.
-    pub fn status(&self) -> Option<Rc<client::Status>> {
+    pub fn follower_status(&self) -> Option<Rc<client::FollowerStatus>> {
         self.following.as_ref().map(|(_, status)| status.clone())
     }
 
     /// Serves without end; dropping it ends all connections.
     pub async fn run(self) {
         let Server { state, following, listener, committers } = self;
-        let followers =
-            accept(&listener, state.options().followers, |stream| serve_follower(state.clone(), stream));
+        let followers = accept(&listener, state.options().max_follower_connections, |stream| {
+            serve_follower(state.clone(), stream)
+        });
         let committers = async {
             match &committers {
                 Some(listener) => {
@@ -131,17 +134,17 @@
 }
 
 /// Follows other servers and feeds the store with what is verified.
-async fn replicate(state: Rc<State>, following: Following, status: Rc<client::Status>) {
+async fn replicate(state: Rc<State>, following: FollowerConfig, status: Rc<client::FollowerStatus>) {
     let (deliver, mut delivered) = mpsc::unbounded_channel();
     let feed = async {
-        while let Some(Delivered { update, in_force }) = delivered.recv().await {
+        while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
             state.replicate(&update);
             log::debug!("version {} with {} changes", update.version, update.changes.len());
-            let _ended = in_force.send(());
+            let _ended = applied.send(());
         }
     };
     tokio::select! {
-        () = follow(following, check_shape, deliver, status) => {}
+        () = follow(following, validate_json_shape, deliver, status) => {}
         () = feed => {}
     }
 }
--- a/crates/pondlb-control-net/src/server/state.rs
+++ b/crates/pondlb-control-net/src/server/state.rs
@@ -36,20 +36,20 @@
     followers: RefCell<FollowerTable>,
     snapshot_pieces: RefCell<TokenBucket>,
     /// State of the own following; none at the origin.
-    following: Option<Rc<client::Status>>,
+    following: Option<Rc<client::FollowerStatus>>,
 }
 
 impl State {
     /// The state of a server that begins with this store.
-    pub fn new(options: ServerOptions, store: Store, following: Option<Rc<client::Status>>) -> State {
+    pub fn new(options: ServerOptions, store: Store, following: Option<Rc<client::FollowerStatus>>) -> State {
         let (version, _) = watch::channel(store.version());
         State {
             version,
             store: RefCell::new(store),
             answers: RefCell::default(),
-            followers: RefCell::new(FollowerTable::new(options.followers)),
+            followers: RefCell::new(FollowerTable::new(options.max_follower_connections)),
             snapshot_pieces: RefCell::new(TokenBucket::new(
-                options.snapshot_pieces_per_second,
+                options.snapshot_pages_per_second,
                 Instant::now(),
             )),
             options,
@@ -85,7 +85,7 @@
     /// Commits changes, all or none.
     pub fn commit(&self, changes: &[NewChange]) -> Result<Version, CommitError> {
         check_classes_left(&self.store.borrow(), changes)?;
-        let version = self.store.borrow_mut().commit(changes, &self.options.check)?;
+        let version = self.store.borrow_mut().commit(changes, &self.options.validate)?;
         self.note_changed(version);
         Ok(version)
     }
@@ -150,7 +150,7 @@
         let (mut has_changes, mut more) = (false, false);
         let plain = match content {
             Content::Changes { from, stale_ms } => {
-                let mut answer = store.changes_since(*from, self.options.piece_bytes);
+                let mut answer = store.changes_since(*from, self.options.max_changes_bytes);
                 answer.stale_ms = *stale_ms;
                 (has_changes, more) = (!answer.changes.is_empty(), answer.has_more);
                 serde_json::to_vec(&answer)?
--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -14,7 +14,7 @@
 use super::request::{Caller, Request};
 use super::state::State;
 use super::token_bucket::TokenBucket;
-use crate::check::check_shape;
+use crate::check::validate_json_shape;
 use crate::coding::ContentCoding;
 use crate::options::{Role, ServerOptions};
 
@@ -102,9 +102,11 @@
 /// The danger is a version that no balancer can put in force: without any class none could serve.
 #[test]
 fn a_commit_that_removes_a_class_leaves_one() {
-    let role = Role::Origin { commit: None, initial: Vec::new(), epoch: 7 };
-    let options =
-        ServerOptions { check: check_shape, ..ServerOptions::new(([127, 0, 0, 1], 0).into(), role) };
+    let role = Role::Origin { commit_address: None, initial_records: Vec::new(), epoch: 7 };
+    let options = ServerOptions {
+        validate: validate_json_shape,
+        ..ServerOptions::new(([127, 0, 0, 1], 0).into(), role)
+    };
     let state = State::new(options, Store::new(7, Limits::default()), None);
     let set = |name| class_change(name, Some("{}"));
     let remove = |name| class_change(name, None);
@@ -195,7 +197,7 @@
 /// A replica server takes repairs, which change records within one version.
 #[test]
 fn a_kept_answer_is_shared_until_the_records_change() {
-    let role = Role::Replica { follow: Vec::new(), hold: Duration::ZERO };
+    let role = Role::Replica { servers: Vec::new(), max_hold: Duration::ZERO };
     let options = ServerOptions::new(([127, 0, 0, 1], 0).into(), role);
     let state = State::new(options, Store::new(0, Limits::default()), None);
     let update = |value| Update {
--- a/crates/pondlb-control-net/tests/churn.rs
+++ b/crates/pondlb-control-net/tests/churn.rs
@@ -17,7 +17,7 @@
 /// The same server again, at the address that its followers know.
 fn back(origin: &Running, options: &ServerOptions, address: std::net::SocketAddr) -> Running {
     let role = replica_options(&[origin.address]).role;
-    Running::start(ServerOptions { listen: address, role, ..options.clone() })
+    Running::start(ServerOptions { listen_address: address, role, ..options.clone() })
 }
 
 #[test]
@@ -57,7 +57,7 @@
         wait_for("a whole state from the origin", || reference.version().revision == newest).await;
         for follower in &followers {
             assert_eq!(follower.records(), reference.records());
-            assert_eq!(follower.status.counters().rejections, 0);
+            assert_eq!(follower.status.counters().rejected_responses, 0);
         }
     });
 }
--- a/crates/pondlb-control-net/tests/common/mod.rs
+++ b/crates/pondlb-control-net/tests/common/mod.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use pondlb_control::{Key, NewChange, RecordKind, Update, Version};
-use pondlb_control_net::{Delivered, Following, Role, Server, ServerOptions, Status, check_shape, follow};
+use pondlb_control_net::{
+    FollowerConfig, FollowerStatus, Role, Server, ServerOptions, UpdateDelivery, follow, validate_json_shape,
+};
 use pondlb_http::{Message, MessageReader, request_framing, response_framing};
 use serde_json::value::RawValue;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -62,15 +64,15 @@
 pub struct Running {
     pub address: SocketAddr,
     pub commit: Option<SocketAddr>,
-    pub status: Option<Rc<Status>>,
+    pub status: Option<Rc<FollowerStatus>>,
     task: JoinHandle<()>,
 }
 
 impl Running {
     pub fn start(options: ServerOptions) -> Running {
         let server = Server::bind(options).unwrap();
-        let (address, commit) = (server.address().unwrap(), server.commit_address().unwrap());
-        let status = server.status();
+        let (address, commit) = (server.listen_address().unwrap(), server.commit_address().unwrap());
+        let status = server.follower_status();
         Running { address, commit, status, task: spawn_local(server.run()) }
     }
 
@@ -93,7 +95,7 @@
 }
 
 pub fn origin_options(epoch: u64, initial: Vec<NewChange>) -> ServerOptions {
-    let role = Role::Origin { commit: Some(any_address()), initial, epoch };
+    let role = Role::Origin { commit_address: Some(any_address()), initial_records: initial, epoch };
     ServerOptions::new(any_address(), role)
 }
 
@@ -102,7 +104,7 @@
 }
 
 pub fn replica_options(follow: &[SocketAddr]) -> ServerOptions {
-    let role = Role::Replica { follow: follow.to_vec(), hold: Duration::from_secs(1) };
+    let role = Role::Replica { servers: follow.to_vec(), max_hold: Duration::from_secs(1) };
     let options = ServerOptions::new(any_address(), role);
     ServerOptions { name: format!("replica-{}", NUMBER.fetch_add(1, Ordering::Relaxed)), ..options }
 }
@@ -116,7 +118,7 @@
 
 /// A follower with the records that it was delivered.
 pub struct Follower {
-    pub status: Rc<Status>,
+    pub status: Rc<FollowerStatus>,
     records: Rc<RefCell<BTreeMap<Key, String>>>,
     version: Rc<Cell<Version>>,
     tasks: [JoinHandle<()>; 2],
@@ -124,23 +126,23 @@
 
 impl Follower {
     pub fn start(servers: &[SocketAddr], number: u64) -> Follower {
-        Follower::with(Following::new(servers.to_vec(), &format!("b{number}"), number))
+        Follower::with(FollowerConfig::new(servers.to_vec(), &format!("b{number}"), number))
     }
 
-    pub fn with(following: Following) -> Follower {
+    pub fn with(following: FollowerConfig) -> Follower {
         let (deliver, mut delivered) = mpsc::unbounded_channel();
-        let status = Rc::new(Status::default());
+        let status = Rc::new(FollowerStatus::default());
         let (records, version) =
             (Rc::new(RefCell::new(BTreeMap::new())), Rc::new(Cell::new(Version::default())));
         let (held, at) = (records.clone(), version.clone());
         let consumer = spawn_local(async move {
-            while let Some(Delivered { update, in_force }) = delivered.recv().await {
+            while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
                 at.set(update.version);
                 apply(&mut held.borrow_mut(), update);
-                let _ended = in_force.send(());
+                let _ended = applied.send(());
             }
         });
-        let driver = spawn_local(follow(following, check_shape, deliver, status.clone()));
+        let driver = spawn_local(follow(following, validate_json_shape, deliver, status.clone()));
         Follower { status, records, version, tasks: [consumer, driver] }
     }
 
--- a/crates/pondlb-control-net/tests/compression.rs
+++ b/crates/pondlb-control-net/tests/compression.rs
@@ -13,7 +13,7 @@
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 use pondlb_control::{Limits, NewChange, Store, Version};
-use pondlb_control_net::check_shape;
+use pondlb_control_net::validate_json_shape;
 use pondlb_http::Message;
 use serde_json::value::RawValue;
 use tokio::time::sleep;
@@ -212,7 +212,7 @@
 /// A server with these records that spoils all of its answers; they are right where it is told not to.
 fn spoiling(count: u64, spoiled: Option<Spoiled>, calls: Rc<Cell<u32>>) -> SocketAddr {
     let mut store = Store::new(7, Limits::default());
-    store.commit(&records(count), &check_shape).unwrap();
+    store.commit(&records(count), &validate_json_shape).unwrap();
     scripted_bytes(move |target| {
         calls.set(calls.get() + 1);
         let content = if target.starts_with("/control/snapshot") {
@@ -239,13 +239,17 @@
             wait_for("some calls", || calls.get() >= 3).await;
             sleep(Duration::from_millis(20)).await;
             let counters = alone.status.counters();
-            assert_eq!((alone.len(), counters.answers, counters.updates), (0, 0, 0), "{spoiled:?}");
-            assert!(counters.failures >= 2, "{spoiled:?}: {counters:?}");
+            assert_eq!(
+                (alone.len(), counters.accepted_responses, counters.applied_updates),
+                (0, 0, 0),
+                "{spoiled:?}"
+            );
+            assert!(counters.failed_requests >= 2, "{spoiled:?}: {counters:?}");
             drop(alone);
             let good = spoiling(40, None, Rc::default());
             let follower = Follower::start(&[bad, good], 0);
             wait_for("the whole state from the next server", || follower.len() == 40).await;
-            assert_eq!(follower.status.server(), Some(good), "{spoiled:?}");
+            assert_eq!(follower.status.current_server(), Some(good), "{spoiled:?}");
         }
     });
 }
--- a/crates/pondlb-control-net/tests/deployment.rs
+++ b/crates/pondlb-control-net/tests/deployment.rs
@@ -9,21 +9,21 @@
 }
 
 fn read(name: &str) -> ServerOptions {
-    ServerOptions::read(&example(name)).unwrap_or_else(|faults| panic!("{name}: {faults:?}"))
+    ServerOptions::from_file(&example(name)).unwrap_or_else(|faults| panic!("{name}: {faults:?}"))
 }
 
 #[test]
 fn the_origin_holds_the_records_of_its_file() {
     let origin = read("origin.toml");
-    let store = origin.store().expect("its records can be committed");
+    let store = origin.initial_store().expect("its records can be committed");
     assert_eq!(store.len(), 4);
-    assert!(matches!(origin.role, Role::Origin { commit: Some(_), .. }));
+    assert!(matches!(origin.role, Role::Origin { commit_address: Some(_), .. }));
 }
 
 #[test]
 fn the_replica_server_follows_the_origin_and_has_its_memory() {
     let (origin, replica) = (read("origin.toml"), read("replica-server.toml"));
-    let Role::Replica { follow, .. } = replica.role else { panic!("it follows nobody") };
-    assert_eq!(follow, [origin.listen]);
-    assert_eq!(replica.memory_mb, origin.memory_mb);
+    let Role::Replica { servers: follow, .. } = replica.role else { panic!("it follows nobody") };
+    assert_eq!(follow, [origin.listen_address]);
+    assert_eq!(replica.memory_limit_mib, origin.memory_limit_mib);
 }
--- a/crates/pondlb-control-net/tests/distribution.rs
+++ b/crates/pondlb-control-net/tests/distribution.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 use pondlb_control::Key;
-use pondlb_control_net::{Following, follow};
+use pondlb_control_net::{FollowerConfig, follow};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -42,7 +42,7 @@
             );
             let counters = follower.status.counters();
             // A replica server may not have had its first state when its first caller came.
-            assert_eq!(counters.rejections + counters.repairs, 0, "{counters:?}");
+            assert_eq!(counters.rejected_responses + counters.repairs_started, 0, "{counters:?}");
             assert!(counters.in_sync && counters.bytes_sent > 500, "{counters:?}");
             // Plain JSON of the records alone is 20 KB.
             assert!((2_000..10_000).contains(&counters.bytes_received), "{counters:?}");
@@ -81,7 +81,7 @@
             count.set(count.get() + 1);
             Ok(())
         };
-        let following = Following::new(vec![origin.address], "b", 0);
+        let following = FollowerConfig::new(vec![origin.address], "b", 0);
         let mut follower = Box::pin(follow(following, check, deliver, Rc::default()));
         let most_in_a_turn = Rc::new(Cell::new(0));
         let (counted, most) = (checked.clone(), most_in_a_turn.clone());
@@ -106,14 +106,14 @@
         wait_for("the replica server's state", || replica.status.as_ref().unwrap().counters().in_sync).await;
         let follower = Follower::start(&[replica.address, origin.address], 0);
         wait_for("the first whole state", || follower.len() == 50).await;
-        assert_eq!(follower.status.server(), Some(replica.address));
-        let snapshots = follower.status.counters().snapshots;
+        assert_eq!(follower.status.current_server(), Some(replica.address));
+        let snapshots = follower.status.counters().snapshots_started;
         replica.stop().await;
         let killed = Instant::now();
         origin.commit(&[set("s-00001", 77)]).await;
         wait_for("the change", || follower.holds("s-00001", 77)).await;
         assert!(killed.elapsed() < Duration::from_secs(10), "{:?}", killed.elapsed());
-        assert_eq!(follower.status.counters().snapshots, snapshots, "it goes on from what it has");
+        assert_eq!(follower.status.counters().snapshots_started, snapshots, "it goes on from what it has");
     });
 }
 
@@ -124,7 +124,7 @@
         let origin = origin(7, records(50));
         let follower = Follower::start(&[silent, origin.address], 0);
         wait_for("the first whole state", || follower.len() == 50).await;
-        assert!(follower.status.counters().failures >= 1);
+        assert!(follower.status.counters().failed_requests >= 1);
     });
 }
 
@@ -134,13 +134,13 @@
         let origin = origin(7, records(10));
         let follower = Follower::start(&[origin.address], 0);
         wait_for("the first whole state", || follower.len() == 10).await;
-        let (before, start) = (follower.status.counters().updates, Instant::now());
+        let (before, start) = (follower.status.counters().applied_updates, Instant::now());
         for size in 0..100 {
             origin.commit(&[set("s-00001", size)]).await;
             sleep(Duration::from_millis(5)).await;
         }
         wait_for("the last change", || follower.holds("s-00001", 99)).await;
-        let updates = follower.status.counters().updates - before;
+        let updates = follower.status.counters().applied_updates - before;
         let most = start.elapsed().as_millis() / 200 + 2;
         assert!(u128::from(updates) <= most, "{updates} updates, {most} at most");
     });
@@ -150,15 +150,17 @@
 fn many_changes_come_in_pieces_at_once() {
     run(async {
         let origin = origin(7, records(10));
-        let following =
-            Following { hold: Duration::from_secs(10), ..Following::new(vec![origin.address], "b0", 0) };
+        let following = FollowerConfig {
+            max_hold: Duration::from_secs(10),
+            ..FollowerConfig::new(vec![origin.address], "b0", 0)
+        };
         let follower = Follower::with(following);
         wait_for("the first whole state", || follower.len() == 10).await;
         // More than 20 pieces of 16 KiB; each gathered for 200 ms they would take longer than this.
         origin.commit(&records(6000)).await;
         let start = Instant::now();
         wait_for("all changes", || follower.len() == 6000).await;
-        assert!(follower.status.counters().updates > 10);
+        assert!(follower.status.counters().applied_updates > 10);
         assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
     });
 }
@@ -181,8 +183,8 @@
         wait_for("staleness is told on", || late.status.staleness() > Duration::from_millis(before + 1500))
             .await;
         let mut options = origin_options(8, records(60));
-        options.listen = address;
-        if let pondlb_control_net::Role::Origin { commit: at, .. } = &mut options.role {
+        options.listen_address = address;
+        if let pondlb_control_net::Role::Origin { commit_address: at, .. } = &mut options.role {
             *at = commit;
         }
         let _back = Running::start(options);
@@ -211,6 +213,10 @@
         wait_for("the first whole state", || follower.len() == 2000).await;
         assert!(follower.holds("a&b=c%20?#+/\"01999", 1999));
         let counters = follower.status.counters();
-        assert_eq!((counters.snapshots, counters.rejections, counters.failures), (1, 0, 0), "{counters:?}");
+        assert_eq!(
+            (counters.snapshots_started, counters.rejected_responses, counters.failed_requests),
+            (1, 0, 0),
+            "{counters:?}"
+        );
     });
 }
--- a/crates/pondlb-control-net/tests/faults.rs
+++ b/crates/pondlb-control-net/tests/faults.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 use pondlb_control::{Key, Limits, Store, Version};
-use pondlb_control_net::{ServerOptions, check_shape};
+use pondlb_control_net::{ServerOptions, validate_json_shape};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
@@ -92,7 +92,7 @@
 impl Garbling {
     fn start(records: u64) -> Garbling {
         let mut store = Store::new(7, Limits::default());
-        store.commit(&common::records(records), &check_shape).unwrap();
+        store.commit(&common::records(records), &validate_json_shape).unwrap();
         let (store, next) = (Rc::new(RefCell::new(store)), Rc::new(Cell::new(None)));
         let (shared, fault) = (store.clone(), next.clone());
         let address = scripted(move |target| Some(Garbling::answer(&shared.borrow(), &fault, target)));
@@ -132,7 +132,7 @@
         wait_for("the first whole state", || follower.len() == 40).await;
         for (round, fault) in (100..).zip(FAULTS) {
             server.next.set(Some(fault));
-            server.store.borrow_mut().commit(&[set("s-00003", round)], &check_shape).unwrap();
+            server.store.borrow_mut().commit(&[set("s-00003", round)], &validate_json_shape).unwrap();
             let start = Instant::now();
             while !follower.holds("s-00003", round) {
                 let taken = follower.records().values().any(|value| value.contains(EVIL));
@@ -144,7 +144,12 @@
             assert!(server.next.take().is_none(), "{fault:?}: it was answered");
         }
         let counters = follower.status.counters();
-        assert!(counters.rejections >= 7 && counters.failures >= 2 && counters.repairs >= 1, "{counters:?}");
+        assert!(
+            counters.rejected_responses >= 7
+                && counters.failed_requests >= 2
+                && counters.repairs_started >= 1,
+            "{counters:?}"
+        );
     });
 }
 
@@ -155,8 +160,9 @@
         let follower = Follower::start(&[newer.address, older.address], 0);
         wait_for("the first whole state", || follower.len() == 20).await;
         newer.stop().await;
-        let failures = follower.status.counters().failures;
-        wait_for("calls at the older one", || follower.status.counters().failures > failures + 2).await;
+        let failures = follower.status.counters().failed_requests;
+        wait_for("calls at the older one", || follower.status.counters().failed_requests > failures + 2)
+            .await;
         assert_eq!((follower.len(), follower.version().epoch), (20, 10));
     });
 }
@@ -221,7 +227,7 @@
 #[test]
 fn callers_beyond_the_most_are_turned_away_and_their_places_are_given_again() {
     run(async {
-        let options = ServerOptions { followers: 2, ..origin_options(7, records(5)) };
+        let options = ServerOptions { max_follower_connections: 2, ..origin_options(7, records(5)) };
         let origin = Running::start(options);
         let (mut one, mut two) = (Raw::connect(origin.address).await, Raw::connect(origin.address).await);
         assert_eq!(status(&one.get("/control/followers").await.unwrap()), 200);
@@ -260,7 +266,7 @@
             origin.commit(&[set("s-00001", 10_000 + size)]).await;
             wait_for("a change", || follower.holds("s-00001", 10_000 + size)).await;
         }
-        assert_eq!(follower.status.counters().failures, 0);
+        assert_eq!(follower.status.counters().failed_requests, 0);
         // Longer than an answer may take.
         sleep(Duration::from_millis(5500)).await;
         let (mut read, mut room) = (0, vec![0; 64 * 1024]);
@@ -307,7 +313,7 @@
 #[test]
 fn a_commit_longer_than_the_memory_allows_is_refused() {
     run(async {
-        let origin = Running::start(ServerOptions { memory_mb: 16, ..origin_options(7, Vec::new()) });
+        let origin = Running::start(ServerOptions { memory_limit_mib: 16, ..origin_options(7, Vec::new()) });
         let body = " ".repeat(3 << 20);
         assert_eq!(status(&post(origin.commit.unwrap(), "/control/commit", &body).await), 413);
     });
@@ -347,7 +353,7 @@
 #[test]
 fn snapshots_beyond_the_rate_are_not_begun() {
     run(async {
-        let options = ServerOptions { snapshot_pieces_per_second: 1.0, ..origin_options(7, records(5)) };
+        let options = ServerOptions { snapshot_pages_per_second: 1.0, ..origin_options(7, records(5)) };
         let origin = Running::start(options);
         assert_eq!(status(&get(origin.address, "/control/snapshot").await), 200);
         let answer = get(origin.address, "/control/snapshot").await;
--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -55,14 +55,14 @@
 }
 
 async fn play(arguments: &Arguments) -> io::Result<()> {
-    let mut options = ServerOptions::read(&arguments.options).map_err(|faults| {
+    let mut options = ServerOptions::from_file(&arguments.options).map_err(|faults| {
         io::Error::other(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     })?;
-    let listener = TcpListener::bind(options.listen).await?;
-    let free = TcpListener::bind((options.listen.ip(), 0)).await?;
-    options.listen = free.local_addr()?;
+    let listener = TcpListener::bind(options.listen_address).await?;
+    let free = TcpListener::bind((options.listen_address.ip(), 0)).await?;
+    options.listen_address = free.local_addr()?;
     drop(free);
-    let (fault, server) = (arguments.fault, options.listen);
+    let (fault, server) = (arguments.fault, options.listen_address);
     let spoiler = Rc::new(Spoiler { fault, server, chances: Cell::new(0) });
     tokio::select! {
         served = serve(options) => served,
--- a/crates/pondlb-lab/src/scale/hollow.rs
+++ b/crates/pondlb-lab/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 
 use clap::ValueEnum;
 use pondlb_control::{KeyInterner, Limits};
-use pondlb_control_net::{Delivered, Following, Status, follow};
+use pondlb_control_net::{FollowerConfig, FollowerStatus, UpdateDelivery, follow};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::unix::pipe::{Receiver, Sender};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
@@ -68,7 +68,7 @@
 struct Balancer {
     number: u32,
     consumer: RefCell<Consumer>,
-    status: RefCell<Rc<Status>>,
+    status: RefCell<Rc<FollowerStatus>>,
     /// Counters of its lives before the last restart.
     earlier: Cell<Counts>,
     updates: Cell<u64>,
@@ -88,16 +88,16 @@
 }
 
 impl Counts {
-    fn of(status: &Status) -> Counts {
+    fn of(status: &FollowerStatus) -> Counts {
         let counters = status.counters();
         Counts {
             received: counters.bytes_received,
             sent: counters.bytes_sent,
-            rejections: counters.rejections,
-            repairs: counters.repairs,
-            snapshots: counters.snapshots,
-            calls: counters.calls,
-            failures: counters.failures,
+            rejections: counters.rejected_responses,
+            repairs: counters.repairs_started,
+            snapshots: counters.snapshots_started,
+            calls: counters.requests_sent,
+            failures: counters.failed_requests,
         }
     }
 
@@ -142,7 +142,7 @@
 
     fn bytes(&self) -> Bytes {
         let Counts { received, sent, .. } = self.counts();
-        Bytes { balancer: self.number, received, sent, server: self.status.borrow().server() }
+        Bytes { balancer: self.number, received, sent, server: self.status.borrow().current_server() }
     }
 
     fn state(&self) -> FinalState {
@@ -188,37 +188,37 @@
     async fn run(self: Rc<Self>, balancer: Rc<Balancer>) {
         let Ok(turn) = self.starting.clone().acquire_owned().await else { return };
         let (deliver, updates) = mpsc::unbounded_channel();
-        let status = Rc::new(Status::default());
+        let status = Rc::new(FollowerStatus::default());
         balancer.status.replace(status.clone());
         let follower = follow(self.following(balancer.number), |_, _| Ok(()), deliver, status);
         tokio::join!(follower, self.consume(&balancer, updates, turn));
     }
 
-    fn following(&self, number: u32) -> Following {
+    fn following(&self, number: u32) -> FollowerConfig {
         let regions = self.assignment.servers.len().max(1);
         let servers = self.assignment.servers.get(number as usize % regions);
         // Those of one region have numbers of their own, so that its servers get equally many.
         let number_in_region = u64::from(number) / regions as u64;
-        Following {
+        FollowerConfig {
             servers: servers.cloned().unwrap_or_default(),
             name: format!("hollow-{number}"),
-            number: number_in_region,
+            follower_number: number_in_region,
             seed: self.assignment.seed ^ u64::from(number),
-            hold: Duration::from_millis(self.assignment.hold_ms),
-            late: LATE,
+            max_hold: Duration::from_millis(self.assignment.hold_ms),
+            response_grace: LATE,
             limits: Limits::default(),
-            names: self.names.clone(),
+            key_interner: self.names.clone(),
         }
     }
 
     async fn consume(
         &self,
         balancer: &Balancer,
-        mut updates: mpsc::UnboundedReceiver<Delivered>,
+        mut updates: mpsc::UnboundedReceiver<UpdateDelivery>,
         turn: OwnedSemaphorePermit,
     ) {
         let mut turn = Some(turn);
-        while let Some(Delivered { update, in_force }) = updates.recv().await {
+        while let Some(UpdateDelivery { update, applied }) = updates.recv().await {
             if self.is_mute(balancer) {
                 // The next call leaves only once this update is in force.
                 std::future::pending::<()>().await;
@@ -235,7 +235,7 @@
             self.in_force.borrow_mut().push(news);
             balancer.updates.set(balancer.updates.get() + 1);
             // The driver that does not wait for it has ended.
-            let _told = in_force.send(());
+            let _told = applied.send(());
             drop(turn.take());
         }
     }
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -6,7 +6,7 @@
 
 use pondlb::{Balancer, ListSource, TenthMillis};
 use pondlb_control::Change;
-use pondlb_control_net::Status;
+use pondlb_control_net::FollowerStatus;
 use pondlb_terms::{Fault, Links, SettingChange};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -83,7 +83,7 @@
     settings: mpsc::UnboundedReceiver<SettingsUpdate>,
     /// Records from control servers that the settings as a whole do not allow so far.
     refused: Vec<Change>,
-    control_status: Rc<Status>,
+    control_status: Rc<FollowerStatus>,
     connections: Rc<ConnectionTable>,
     configuration: Configuration,
     terminate: Signal,
@@ -147,7 +147,7 @@
                 notes_in.clone(),
             ));
         }
-        let control_status = Rc::new(Status::default());
+        let control_status = Rc::new(FollowerStatus::default());
         if let Some(control) = setup.control.clone() {
             let follower = Follower {
                 name: setup.name.clone(),
@@ -297,7 +297,7 @@
                 Err(_) => self.refused.push(change),
             }
         }
-        self.control_status.note_refused(self.refused.len() as u64);
+        self.control_status.set_unapplied_records(self.refused.len() as u64);
     }
 
     /// Requests that have come already were read with the classes as they were, whose numbers may be used again.
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pondlb_control::{Change, Limits, Update, Version};
-use pondlb_control_net::{Delivered, Following, Status, check_record, follow};
+use pondlb_control_net::{FollowerConfig, FollowerStatus, UpdateDelivery, follow, validate_record};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -37,7 +37,7 @@
     /// Where changes of the settings go.
     pub settings: mpsc::UnboundedSender<SettingsUpdate>,
     /// What control servers are told of records that can't be put in force.
-    pub status: Rc<Status>,
+    pub status: Rc<FollowerStatus>,
     /// Upstreams known before the first whole state: what that does not name has been removed.
     pub remembered: BTreeSet<String>,
 }
@@ -54,12 +54,12 @@
 pub async fn follow_control(control: Control, follower: Follower, notes: mpsc::UnboundedSender<Note>) {
     let Follower { name, number, seed, state_bytes, settings, status, remembered } = follower;
     let limits = Limits { max_total_bytes: state_bytes, ..Limits::default() };
-    let mut following = Following::new(control.servers, &name, number);
-    (following.seed, following.hold, following.limits) = (seed, control.hold, limits);
+    let mut following = FollowerConfig::new(control.servers, &name, number);
+    (following.seed, following.max_hold, following.limits) = (seed, control.hold, limits);
     let (deliver, delivered) = mpsc::unbounded_channel();
     let consumer = Consumer { notes, settings, remembered, logged: None };
     tokio::select! {
-        () = follow(following, check_record, deliver, status) => {}
+        () = follow(following, validate_record, deliver, status) => {}
         () = consumer.run(delivered) => {}
     }
 }
@@ -72,14 +72,14 @@
 }
 
 impl Consumer {
-    async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<Delivered>) {
-        while let Some(Delivered { update, in_force }) = delivered.recv().await {
+    async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<UpdateDelivery>) {
+        while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
             let (version, records) = (update.version, update.changes.len());
             if self.put_in_force(update).await.is_none() {
                 return;
             }
             self.log(version, records);
-            let _ended = in_force.send(());
+            let _ended = applied.send(());
         }
     }
 
--- a/crates/pondlb-server/tests/control/mod.rs
+++ b/crates/pondlb-server/tests/control/mod.rs
@@ -34,7 +34,7 @@
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
             LocalSet::new().block_on(&runtime, async {
                 let server = Server::bind(options()).unwrap();
-                tell.send((server.address().unwrap(), server.commit_address().unwrap())).unwrap();
+                tell.send((server.listen_address().unwrap(), server.commit_address().unwrap())).unwrap();
                 tokio::select! {
                     () = server.run() => {}
                     _ = stopped => {}
@@ -54,7 +54,7 @@
         let initial = format!(r#"{{"changes":[{}]}}"#, initial.join(","));
         let role = move || {
             let CommitRequest { changes } = serde_json::from_str(&initial).unwrap();
-            Role::Origin { commit: Some(any_address()), initial: changes, epoch }
+            Role::Origin { commit_address: Some(any_address()), initial_records: changes, epoch }
         };
         ControlServer::start(listen, role)
     }
@@ -62,16 +62,17 @@
     /// An origin whose answers have so many bytes of changes, or a single change.
     fn origin_in_pieces_of(piece_bytes: usize) -> ControlServer {
         ControlServer::start_with(move || {
-            let role = Role::Origin { commit: Some(any_address()), initial: Vec::new(), epoch: 7 };
-            ServerOptions { piece_bytes, ..ServerOptions::new(any_address(), role) }
+            let role =
+                Role::Origin { commit_address: Some(any_address()), initial_records: Vec::new(), epoch: 7 };
+            ServerOptions { max_changes_bytes: piece_bytes, ..ServerOptions::new(any_address(), role) }
         })
     }
 
     fn replica(origin: &ControlServer) -> ControlServer {
         let follow = vec![origin.address];
         ControlServer::start(any_address(), move || Role::Replica {
-            follow,
-            hold: Duration::from_millis(300),
+            servers: follow,
+            max_hold: Duration::from_millis(300),
         })
     }
 
