--- a/crates/pondlb-control-net/src/client/driver.rs
+++ b/crates/pondlb-control-net/src/client/driver.rs
@@ -1,4 +1,4 @@
-//! The loop of a follower: call, take, deliver.
+//! The main loop of a follower: sends requests to a control server, validates the responses and delivers the updates.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,209 +13,224 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::failure::{Failure, ToldFailures};
-use super::link::Link;
+use super::connection::ServerConnection;
+use super::failure::{FailureLogLimiter, RequestFailure};
 use super::status::FollowerStatus;
-use super::{FollowerConfig, REFUSED, UpdateDelivery};
-use crate::options::MOST_PIECE_BYTES;
-
-/// How long a call may take that is answered at once.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2200);
-/// A server that does not hold its answers, or tells the same whole state again and again, would else be called
-/// without a rest.
-const PAUSE: Duration = Duration::from_millis(50);
-
-/// So many records are checked in one turn of the loop: others go on between.
-const SLICE: usize = 64;
-
-/// More than a piece and a single record have beside the value: key, revision, version and digest.
-const MOST_BESIDE_VALUE: usize = 4 << 10;
-/// The longest answer to a call for repairs: a bucket of very long records.
-const MOST_REPAIR: usize = 8 << 20;
-
-/// Follows the servers with one replica.
-pub struct Driver<C> {
-    following: FollowerConfig,
-    name: String,
-    check: C,
-    deliver: mpsc::UnboundedSender<UpdateDelivery>,
+use super::{FollowerConfig, UNAPPLIED_RECORDS_PARAMETER, UpdateDelivery};
+use crate::options::CHANGES_BYTES_LIMIT;
+
+/// The timeout of a request that the server answers without a hold.
+const IMMEDIATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// The delay after a response without any progress. It bounds the request rate towards a server that does not hold
+/// its responses, or that sends the same complete state again and again.
+const NO_PROGRESS_DELAY: Duration = Duration::from_millis(50);
+
+/// The number of records that are validated before other tasks of the thread get a turn.
+const VALIDATION_BATCH_RECORDS: usize = 64;
+
+/// An upper bound of what a response with changes or a snapshot page contains besides the values of its records: key,
+/// revision, version and digest.
+const MAX_RESPONSE_OVERHEAD_BYTES: usize = 4 << 10;
+/// The maximum content of a response to a request of a repair: a bucket of very long records.
+const MAX_REPAIR_RESPONSE_BYTES: usize = 8 << 20;
+
+/// Keeps one replica up to date from the configured servers.
+pub struct Driver<V> {
+    config: FollowerConfig,
+    /// The follower's name in requests.
+    caller_name: String,
+    /// Validates each changed value or removal.
+    validate: V,
+    /// The channel to the consumer.
+    deliveries: mpsc::UnboundedSender<UpdateDelivery>,
     status: Rc<FollowerStatus>,
     replica: Replica,
     rotation: Rotation,
-    link: Link,
-    /// When to call the home server again; none while it is the one called.
-    home_at: Option<Instant>,
-    told: ToldFailures,
+    connection: ServerConnection,
+    /// When to return to the preferred server; `None` while it is the current one.
+    failback_at: Option<Instant>,
+    log_limiter: FailureLogLimiter,
 }
 
-/// What an answer tells beside its records.
-struct Told {
-    staleness: Duration,
-    /// It has neither changes nor a reset.
+/// The properties of a response that the driver needs after its records have been processed.
+struct ResponseInfo {
+    /// For how long the server itself has not heard from the origin.
+    server_staleness: Duration,
+    /// Whether it contains neither changes nor a reset.
     is_empty: bool,
 }
 
-impl<C: Fn(&Key, Option<&str>) -> Result<(), String>> Driver<C> {
+impl<V: Fn(&Key, Option<&str>) -> Result<(), String>> Driver<V> {
+    /// Creates a driver with an empty replica.
     pub fn new(
-        following: FollowerConfig,
-        check: C,
-        deliver: mpsc::UnboundedSender<UpdateDelivery>,
+        config: FollowerConfig,
+        validate: V,
+        deliveries: mpsc::UnboundedSender<UpdateDelivery>,
         status: Rc<FollowerStatus>,
-    ) -> Driver<C> {
+    ) -> Driver<V> {
         Driver {
-            name: following.caller_name(),
-            replica: Replica::new(following.limits, following.key_interner.clone()),
-            rotation: Rotation::new(following.servers.len(), following.follower_number, following.seed),
-            following,
-            check,
-            deliver,
+            caller_name: config.caller_name(),
+            replica: Replica::new(config.limits, config.key_interner.clone()),
+            rotation: Rotation::new(config.servers.len(), config.follower_number, config.seed),
+            config,
+            validate,
+            deliveries,
             status,
-            link: Link::default(),
-            home_at: None,
-            told: ToldFailures::default(),
+            connection: ServerConnection::default(),
+            failback_at: None,
+            log_limiter: FailureLogLimiter::default(),
         }
     }
 
-    /// Calls without end.
+    /// Sends requests and processes their responses. Never returns.
     pub async fn run(&mut self) {
         loop {
-            self.go_home_when_due();
-            let pause = match self.call_once().await {
-                Ok(pause) => pause,
-                Err(failure) => Some(self.go_on_after(failure)),
+            self.fail_back_if_due();
+            let delay = match self.exchange_once().await {
+                Ok(delay) => delay,
+                Err(failure) => Some(self.fail_over(failure)),
             };
-            if let Some(pause) = pause {
-                sleep(pause).await;
+            if let Some(delay) = delay {
+                sleep(delay).await;
             }
         }
     }
 
-    /// One call and all that it brings; how long to wait before the next one.
-    async fn call_once(&mut self) -> Result<Option<Duration>, Failure> {
-        let call = self.replica.next_request(self.following.max_hold);
-        self.count_begun(&call);
-        let called = Instant::now();
-        let answer = self.ask(&call).await?;
-        let answered = Instant::now();
-        let told = told_by(&answer);
-        let progress = self.receive(answer).await?;
+    /// Sends the next request, processes its response and delivers the update, if any. Returns the delay before the
+    /// next request.
+    async fn exchange_once(&mut self) -> Result<Option<Duration>, RequestFailure> {
+        let request = self.replica.next_request(self.config.max_hold);
+        self.count_started(&request);
+        let sent_at = Instant::now();
+        let response = self.send(&request).await?;
+        let received_at = Instant::now();
+        let info = response_info(&response);
+        let progress = self.receive(response).await?;
         self.rotation.record_success();
         let in_sync = self.replica.is_in_sync();
-        self.status.count(|counters| {
+        self.status.update_counters(|counters| {
             counters.accepted_responses += 1;
             counters.in_sync = in_sync;
         });
         match progress {
-            Progress::Unchanged => self.status.note_heard(answered, told.staleness),
+            Progress::Unchanged => self.status.record_current_response(received_at, info.server_staleness),
             Progress::Pending => {}
             Progress::Applied(update) => {
                 let (is_last, is_empty) = (!update.has_more, update.changes.is_empty());
-                self.put_in_force(update).await;
+                self.deliver_update(update).await;
                 if is_last {
-                    self.status.note_heard(answered, told.staleness);
+                    self.status.record_current_response(received_at, info.server_staleness);
                 }
-                return Ok(is_empty.then_some(PAUSE));
+                return Ok(is_empty.then_some(NO_PROGRESS_DELAY));
             }
         }
-        Ok((told.is_empty && called.elapsed() < PAUSE).then_some(PAUSE))
+        Ok((info.is_empty && sent_at.elapsed() < NO_PROGRESS_DELAY).then_some(NO_PROGRESS_DELAY))
     }
 
-    /// Takes an answer that was just decoded, all or nothing. Other tasks get a turn before its records are checked,
-    /// between slices of them, and before they are taken.
-    async fn receive(&mut self, answer: ReplicaResponse) -> Result<Progress, Rejection> {
-        let mut pending = PendingResponse::new(answer);
+    /// Processes a response that was just decoded; it is applied as a whole or not at all. Yields to other tasks before
+    /// its records are validated, between batches of them, and before they are applied.
+    async fn receive(&mut self, response: ReplicaResponse) -> Result<Progress, Rejection> {
+        let mut pending = PendingResponse::new(response);
         while !pending.is_validated() {
             yield_now().await;
-            self.replica.validate_batch(&mut pending, &self.check, SLICE);
+            self.replica.validate_batch(&mut pending, &self.validate, VALIDATION_BATCH_RECORDS);
             if pending.is_validated() {
                 yield_now().await;
             }
         }
-        self.replica.receive_validated(pending, &self.check)
+        self.replica.receive_validated(pending, &self.validate)
     }
 
-    async fn ask(&mut self, call: &ReplicaRequest) -> Result<ReplicaResponse, Failure> {
-        let server = self.server();
-        self.status.note_server(server);
-        let within = match call {
-            ReplicaRequest::Changes { hold: LongPoll::UpTo(hold), .. } => {
-                *hold + self.following.response_grace
-            }
-            _ => ANSWER_WITHIN,
+    /// Sends a request to the current server and returns its decoded response.
+    async fn send(&mut self, request: &ReplicaRequest) -> Result<ReplicaResponse, RequestFailure> {
+        let server = self.current_server();
+        self.status.set_current_server(server);
+        let response_timeout = match request {
+            ReplicaRequest::Changes { hold: LongPoll::UpTo(hold), .. } => *hold + self.config.response_grace,
+            _ => IMMEDIATE_RESPONSE_TIMEOUT,
         };
-        let target = self.target(call);
+        let target = self.request_target(request);
         log::trace!("control: {server}: {target}");
-        let body = timeout(within, self.link.call(server, &target, self.most_content(call), &self.status))
+        let max_content_bytes = self.max_content_bytes(request);
+        let exchange = self.connection.get(server, &target, max_content_bytes, &self.status);
+        let content = timeout(response_timeout, exchange)
             .await
-            .map_err(|_| Failure::Silent(within))??;
-        decode(call, &body)
+            .map_err(|_| RequestFailure::TimedOut(response_timeout))??;
+        decode(request, &content)
     }
 
-    fn target(&self, call: &ReplicaRequest) -> String {
-        let target = call.target(&self.name);
-        match (call, self.status.counters().unapplied_records) {
-            (ReplicaRequest::Changes { .. }, refused @ 1..) => format!("{target}&{REFUSED}={refused}"),
+    /// The target of a request. Requests for changes report the number of unapplied records, if there are any.
+    fn request_target(&self, request: &ReplicaRequest) -> String {
+        let target = request.target(&self.caller_name);
+        match (request, self.status.counters().unapplied_records) {
+            (ReplicaRequest::Changes { .. }, unapplied_records @ 1..) => {
+                format!("{target}&{UNAPPLIED_RECORDS_PARAMETER}={unapplied_records}")
+            }
             _ => target,
         }
     }
 
-    /// How long the content of an answer may be.
-    fn most_content(&self, call: &ReplicaRequest) -> usize {
-        match call {
+    /// The maximum length of the decoded content of the response to a request.
+    fn max_content_bytes(&self, request: &ReplicaRequest) -> usize {
+        match request {
             ReplicaRequest::Changes { .. } | ReplicaRequest::Snapshot { .. } => {
-                MOST_PIECE_BYTES + MOST_BESIDE_VALUE + self.following.limits.max_value_bytes
+                CHANGES_BYTES_LIMIT + MAX_RESPONSE_OVERHEAD_BYTES + self.config.limits.max_value_bytes
             }
-            ReplicaRequest::Digests | ReplicaRequest::Bucket(_) => MOST_REPAIR,
+            ReplicaRequest::Digests | ReplicaRequest::Bucket(_) => MAX_REPAIR_RESPONSE_BYTES,
         }
     }
 
-    async fn put_in_force(&mut self, update: Update) {
-        let (version, changes) = (update.version, update.changes.len());
-        let (in_force, is_in_force) = oneshot::channel();
-        // Without its receiver the whole driver ends at its next wait.
-        let _ended = self.deliver.send(UpdateDelivery { update, applied: in_force });
-        if is_in_force.await.is_ok() {
-            self.status.note_in_force(version, changes);
+    /// Hands an update to the consumer and waits until it is applied.
+    async fn deliver_update(&mut self, update: Update) {
+        let (version, change_count) = (update.version, update.changes.len());
+        let (applied, applied_receiver) = oneshot::channel();
+        // If the consumer has dropped its receiver, `follow` cancels this driver at its next wait.
+        let _consumer_ended = self.deliveries.send(UpdateDelivery { update, applied });
+        if applied_receiver.await.is_ok() {
+            self.status.count_applied_update(version, change_count);
         }
     }
 
-    /// Goes on to the next server; how long to wait first.
-    fn go_on_after(&mut self, failure: Failure) -> Duration {
-        let server = self.server();
+    /// Counts and logs a failure and moves on to the next server. Returns the time to wait before using it.
+    fn fail_over(&mut self, failure: RequestFailure) -> Duration {
+        let server = self.current_server();
         match &failure {
-            Failure::Rejected(_) => self.status.count(|counters| counters.rejected_responses += 1),
-            _ => self.status.count(|counters| counters.failed_requests += 1),
+            RequestFailure::Rejected(_) => {
+                self.status.update_counters(|counters| counters.rejected_responses += 1)
+            }
+            _ => self.status.update_counters(|counters| counters.failed_requests += 1),
         }
-        if self.told.is_due(&failure) {
+        if self.log_limiter.should_log(&failure) {
             log::warn!("control: {server}: {failure}");
         } else {
-            log::debug!("control: {server}: again {failure}");
+            log::debug!("control: {server}: repeated failure: {failure}");
         }
-        self.link.close();
+        self.connection.close();
         self.replica.reset_for_new_server();
-        let wait = self.rotation.fail_over();
-        self.home_at = self.rotation.failback_delay().map(|after| Instant::now() + after);
-        wait
+        let backoff = self.rotation.fail_over();
+        self.failback_at = self.rotation.failback_delay().map(|delay| Instant::now() + delay);
+        backoff
     }
 
-    /// Only between two whole states: a snapshot or repair would start over.
-    fn go_home_when_due(&mut self) {
-        let is_due = self.home_at.is_some_and(|at| at <= Instant::now());
+    /// Returns to the preferred server when it is time, but not during a snapshot or a repair, which would start over.
+    fn fail_back_if_due(&mut self) {
+        let is_due = self.failback_at.is_some_and(|at| at <= Instant::now());
         if is_due && self.replica.is_in_sync() {
-            self.home_at = None;
+            self.failback_at = None;
             self.rotation.fail_back();
             self.replica.reset_for_new_server();
-            log::debug!("control: back to {}", self.server());
+            log::debug!("control: returned to the preferred server {}", self.current_server());
         }
     }
 
-    fn server(&self) -> SocketAddr {
-        let servers = &self.following.servers;
+    fn current_server(&self) -> SocketAddr {
+        let servers = &self.config.servers;
         servers[self.rotation.current_server() % servers.len()]
     }
 
-    fn count_begun(&self, call: &ReplicaRequest) {
-        self.status.count(|counters| match call {
+    /// Counts the snapshot or the repair that a request starts.
+    fn count_started(&self, request: &ReplicaRequest) {
+        self.status.update_counters(|counters| match request {
             ReplicaRequest::Snapshot { after: None } => counters.snapshots_started += 1,
             ReplicaRequest::Digests => counters.repairs_started += 1,
             _ => {}
@@ -223,25 +238,26 @@
     }
 }
 
-fn told_by(answer: &ReplicaResponse) -> Told {
-    match answer {
-        ReplicaResponse::Changes(changes) => Told {
-            staleness: Duration::from_millis(changes.stale_ms),
+fn response_info(response: &ReplicaResponse) -> ResponseInfo {
+    match response {
+        ReplicaResponse::Changes(changes) => ResponseInfo {
+            server_staleness: Duration::from_millis(changes.stale_ms),
             is_empty: changes.changes.is_empty() && !changes.reset,
         },
-        _ => Told { staleness: Duration::ZERO, is_empty: false },
+        _ => ResponseInfo { server_staleness: Duration::ZERO, is_empty: false },
     }
 }
 
-fn decode(call: &ReplicaRequest, body: &[u8]) -> Result<ReplicaResponse, Failure> {
-    Ok(match call {
-        ReplicaRequest::Changes { .. } => ReplicaResponse::Changes(json(body)?),
-        ReplicaRequest::Snapshot { .. } => ReplicaResponse::Snapshot(json(body)?),
-        ReplicaRequest::Digests => ReplicaResponse::Digests(json(body)?),
-        ReplicaRequest::Bucket(_) => ReplicaResponse::Bucket(json(body)?),
+/// Decodes the content of the response to a request.
+fn decode(request: &ReplicaRequest, content: &[u8]) -> Result<ReplicaResponse, RequestFailure> {
+    Ok(match request {
+        ReplicaRequest::Changes { .. } => ReplicaResponse::Changes(from_json(content)?),
+        ReplicaRequest::Snapshot { .. } => ReplicaResponse::Snapshot(from_json(content)?),
+        ReplicaRequest::Digests => ReplicaResponse::Digests(from_json(content)?),
+        ReplicaRequest::Bucket(_) => ReplicaResponse::Bucket(from_json(content)?),
     })
 }
 
-fn json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Failure> {
-    serde_json::from_slice(body).map_err(|error| Failure::Unreadable(error.to_string()))
+fn from_json<T: DeserializeOwned>(content: &[u8]) -> Result<T, RequestFailure> {
+    serde_json::from_slice(content).map_err(|error| RequestFailure::MalformedResponse(error.to_string()))
 }
--- a/crates/pondlb-control-net/src/client/failure.rs
+++ b/crates/pondlb-control-net/src/client/failure.rs
@@ -1,4 +1,4 @@
-//! Why a call has failed, and how often the log is told.
+//! Reasons why a request to a control server fails, and rate limiting of their log messages.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 
 use crate::coding::DecodeError;
 
-/// Why a call has brought nothing.
+/// Why a request has brought no usable response.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
-    /// The time for an answer is over.
-    #[error("no answer within {0:?}")]
-    Silent(Duration),
-    /// There is no connection, or it broke.
+pub enum RequestFailure {
+    /// No response arrived within this time.
+    #[error("no response within {0:?}")]
+    TimedOut(Duration),
+    /// The connection could not be opened, or it failed. The text says why.
     #[error("{0}")]
-    Unreached(String),
-    /// The server does not answer the call.
-    #[error("the call is answered with {status}: {reason}")]
-    Refused {
-        /// Status of the answer.
+    Disconnected(String),
+    /// The server responded with another status than 200.
+    #[error("the server responded with status {status}: {reason}")]
+    ErrorStatus {
+        /// The status code.
         status: u16,
-        /// Its text.
+        /// The text of the response.
         reason: String,
     },
-    /// What came is no answer.
-    #[error("the answer can't be read: {0}")]
-    Unreadable(String),
-    /// The content of what came can't be decoded.
-    #[error("the answer can't be decoded: {0}")]
-    Undecodable(#[from] DecodeError),
-    /// Nothing of the answer is taken.
-    #[error("the answer is rejected: {0}")]
+    /// The response is not valid HTTP, or its content is not the expected JSON.
+    #[error("the response is malformed: {0}")]
+    MalformedResponse(String),
+    /// The content coding of the response can't be decoded.
+    #[error("the content of the response can't be decoded: {0}")]
+    UndecodableContent(#[from] DecodeError),
+    /// The replica rejected the response as a whole.
+    #[error("the response is rejected: {0}")]
     Rejected(#[from] Rejection),
 }
 
-/// One reason is logged once in this time, however often calls fail for it.
-const REPEATED: Duration = Duration::from_secs(5);
+/// Failures of one kind are logged as warnings at most once in this time.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Which reasons the log was told lately.
+/// The kinds of failures that were logged within the last [`LOG_INTERVAL`], and when.
 #[derive(Debug, Default)]
-pub struct ToldFailures(Vec<(std::mem::Discriminant<Failure>, Instant)>);
+pub struct FailureLogLimiter(Vec<(std::mem::Discriminant<RequestFailure>, Instant)>);
 
-impl ToldFailures {
-    /// Whether the log is to be told of this one; it counts as told then.
-    pub fn is_due(&mut self, failure: &Failure) -> bool {
-        self.0.retain(|(_, at)| at.elapsed() < REPEATED);
+impl FailureLogLimiter {
+    /// Whether a failure is to be logged as a warning. If so, it is recorded as logged.
+    pub fn should_log(&mut self, failure: &RequestFailure) -> bool {
+        self.0.retain(|(_, logged_at)| logged_at.elapsed() < LOG_INTERVAL);
         let kind = std::mem::discriminant(failure);
-        let is_due = self.0.iter().all(|(told, _)| *told != kind);
+        let is_due = self.0.iter().all(|(logged_kind, _)| *logged_kind != kind);
         if is_due {
             self.0.push((kind, Instant::now()));
         }
--- a/crates/pondlb-control-net/src/client/mod.rs
+++ b/crates/pondlb-control-net/src/client/mod.rs
@@ -1,8 +1,8 @@
-//! Following control servers: a replica that is kept up to date over a kept connection.
+//! The client side of the control protocol: keeps a replica up to date from a list of control servers.
 
+mod connection;
 mod driver;
 mod failure;
-mod link;
 mod status;
 
 use std::net::SocketAddr;
@@ -12,85 +12,90 @@
 use pondlb_control::{Key, KeyInterner, Limits, Update};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::options::{MOST_NAME, is_caller_name};
+use crate::options::{MAX_CALLER_NAME_BYTES, is_valid_caller_name};
 use driver::Driver;
 pub use status::{FollowerCounters, FollowerStatus};
 
-/// What to follow, and how.
+/// Which servers a follower uses, and how.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
-    /// The control servers; one at least.
+    /// The control servers; at least one.
     pub servers: Vec<SocketAddr>,
-    /// Name towards the servers: letters, digits, `-`, `_` and `.`; others are replaced.
+    /// The name of the follower in its requests. Characters that servers don't accept are replaced by `_`.
     pub name: String,
-    /// Own number among the followers, which are spread over the servers by it.
+    /// The number of the follower. Followers with consecutive numbers are divided evenly among the servers.
     pub follower_number: u64,
-    /// Where chance starts from, for waits between calls.
+    /// The seed of the order in which the servers are tried and of the jitter in delays.
     pub seed: u64,
-    /// How long a server may wait for news before it answers.
+    /// For how long a server may hold a request while there are no new changes.
     pub max_hold: Duration,
-    /// How much later than that an answer may come before the server is held to be silent.
+    /// How long after the end of the hold the response may arrive before the request has timed out.
     pub response_grace: Duration,
-    /// What is taken at most.
+    /// The limits of the replicated records.
     pub limits: Limits,
     /// Keys that are shared with other replicas of the process.
     pub key_interner: KeyInterner,
 }
 
-/// The parameter of calls for changes that tells how many records could not be put in force.
-pub(crate) const REFUSED: &str = "refused";
+/// The query parameter of requests for changes that reports how many records the follower could not apply.
+pub(crate) const UNAPPLIED_RECORDS_PARAMETER: &str = "refused";
 
-const DEFAULT_HOLD: Duration = Duration::from_secs(1);
-const DEFAULT_LATE: Duration = Duration::from_millis(300);
+const DEFAULT_MAX_HOLD: Duration = Duration::from_secs(1);
+const DEFAULT_RESPONSE_GRACE: Duration = Duration::from_millis(300);
 
 impl FollowerConfig {
-    /// Follows these servers with the default times and limits.
-    pub fn new(servers: Vec<SocketAddr>, name: &str, number: u64) -> FollowerConfig {
+    /// A configuration with the default times and limits. The number is also the seed.
+    pub fn new(servers: Vec<SocketAddr>, name: &str, follower_number: u64) -> FollowerConfig {
         FollowerConfig {
             servers,
             name: name.into(),
-            follower_number: number,
-            seed: number,
-            max_hold: DEFAULT_HOLD,
-            response_grace: DEFAULT_LATE,
+            follower_number,
+            seed: follower_number,
+            max_hold: DEFAULT_MAX_HOLD,
+            response_grace: DEFAULT_RESPONSE_GRACE,
             limits: Limits::default(),
             key_interner: KeyInterner::default(),
         }
     }
 
-    /// The name in a form that servers accept.
+    /// The name, truncated and with its invalid characters replaced, as servers accept it.
     fn caller_name(&self) -> String {
-        let accepted =
-            |letter: char| if is_caller_name(letter.encode_utf8(&mut [0; 4])) { letter } else { '_' };
-        let name: String = self.name.chars().take(MOST_NAME).map(accepted).collect();
+        let sanitized = |character: char| {
+            if is_valid_caller_name(character.encode_utf8(&mut [0; 4])) { character } else { '_' }
+        };
+        let name: String = self.name.chars().take(MAX_CALLER_NAME_BYTES).map(sanitized).collect();
         if name.is_empty() { "_".into() } else { name }
     }
 }
 
-/// A verified update on its way to the consumer.
+/// A verified update that is handed to the consumer.
 #[derive(Debug)]
 pub struct UpdateDelivery {
-    /// What to put in force.
+    /// The update to apply.
     pub update: Update,
-    /// To be told once it is in force: the next call leaves then, and tells the server so.
+    /// The consumer signals here that it has applied the update. The next request, which reports its version to the
+    /// server, is sent only then.
     pub applied: oneshot::Sender<()>,
 }
 
-/// Follows the servers until the receiver of updates is gone. `check` says whether a value may be taken.
+/// Follows the servers until the receiver of the deliveries is dropped.
+///
+/// `validate` is called for each changed value and for each removal (`None`). Its error is the reason why the value is
+/// not allowed; the response that contains it is rejected as a whole.
 pub async fn follow(
-    following: FollowerConfig,
-    check: impl Fn(&Key, Option<&str>) -> Result<(), String>,
-    deliver: mpsc::UnboundedSender<UpdateDelivery>,
+    config: FollowerConfig,
+    validate: impl Fn(&Key, Option<&str>) -> Result<(), String>,
+    deliveries: mpsc::UnboundedSender<UpdateDelivery>,
     status: Rc<FollowerStatus>,
 ) {
-    if following.servers.is_empty() {
-        return log::error!("control: there is no server to follow");
+    if config.servers.is_empty() {
+        return log::error!("control: no control server is configured");
     }
-    let receiver = deliver.clone();
-    let mut driver = Driver::new(following, check, deliver, status.clone());
+    let consumer = deliveries.clone();
+    let mut driver = Driver::new(config, validate, deliveries, status.clone());
     tokio::select! {
         () = driver.run() => {}
-        () = status.watch_staleness() => {}
-        () = receiver.closed() => {}
+        () = status.log_staleness_changes() => {}
+        () = consumer.closed() => {}
     }
 }
--- a/crates/pondlb-control-net/src/client/status.rs
+++ b/crates/pondlb-control-net/src/client/status.rs
@@ -1,4 +1,4 @@
-//! What a follower has done and how fresh its state is, for logs and measurements.
+//! The counters of a follower and the staleness of its state, for logs and measurements.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,141 +7,152 @@
 use pondlb_control::Version;
 use tokio::time::{Instant, sleep};
 
-/// Counts since the start.
+/// What a follower has done since its start, and its present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
-    /// Calls made, repeated ones included.
+    /// Requests sent, including retries.
     pub requests_sent: u64,
-    /// Answers that were taken.
+    /// Responses that the replica accepted.
     pub accepted_responses: u64,
-    /// Calls that brought no answer that can be read.
+    /// Requests without a readable response.
     pub failed_requests: u64,
-    /// Answers that were read and rejected.
+    /// Readable responses that the replica rejected.
     pub rejected_responses: u64,
-    /// Snapshots begun.
+    /// Snapshots of which the first page was requested.
     pub snapshots_started: u64,
-    /// Repairs begun.
+    /// Repairs that were started by a request for the bucket digests.
     pub repairs_started: u64,
-    /// Updates in force.
+    /// Updates that the consumer applied.
     pub applied_updates: u64,
-    /// Changes in them.
+    /// Changed records in these updates.
     pub applied_changes: u64,
-    /// Bytes written to servers, heads of requests included.
+    /// Bytes sent to servers, including the heads of requests.
     pub bytes_sent: u64,
-    /// Bytes read from servers, heads of answers included.
+    /// Bytes received from servers, including the heads of responses.
     pub bytes_received: u64,
-    /// The version in force.
+    /// The version of the last applied update.
     pub version: Version,
-    /// The last digest compared was right.
+    /// Whether the last comparison of digests matched.
     pub in_sync: bool,
-    /// Records of the version in force that the consumer could not put in force.
+    /// Records of the active version that the consumer could not apply.
     pub unapplied_records: u64,
 }
 
+/// The last response that showed the active version to be the server's newest one.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    at: Instant,
-    /// How stale the server's own state was.
-    told: Duration,
+struct CurrentResponse {
+    received_at: Instant,
+    /// For how long the server itself had not heard from the origin.
+    server_staleness: Duration,
 }
 
-/// State of a follower.
+/// The status of a follower, shared by its driver, its consumer and observers.
 #[derive(Debug)]
 pub struct FollowerStatus {
-    started: Instant,
+    started_at: Instant,
     counters: Cell<FollowerCounters>,
-    heard: Cell<Option<Heard>>,
-    server: Cell<Option<SocketAddr>>,
+    last_current_response: Cell<Option<CurrentResponse>>,
+    current_server: Cell<Option<SocketAddr>>,
 }
 
-/// From when on a state is called stale.
-const STALE: Duration = Duration::from_secs(10);
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// The staleness from which on a state is reported as stale in the log.
+const STALE_THRESHOLD: Duration = Duration::from_secs(10);
+const STALENESS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Default for FollowerStatus {
     fn default() -> FollowerStatus {
         FollowerStatus {
-            started: Instant::now(),
+            started_at: Instant::now(),
             counters: Cell::default(),
-            heard: Cell::default(),
-            server: Cell::default(),
+            last_current_response: Cell::default(),
+            current_server: Cell::default(),
         }
     }
 }
 
 impl FollowerStatus {
-    /// What has been counted so far.
+    /// The present counters.
     pub fn counters(&self) -> FollowerCounters {
         self.counters.get()
     }
 
-    /// The server that is called.
+    /// The server to which the last request was sent.
     pub fn current_server(&self) -> Option<SocketAddr> {
-        self.server.get()
+        self.current_server.get()
     }
 
-    /// How long ago a server has answered with what is in force.
+    /// The time since a response last showed the active version to be the server's newest one.
     pub fn time_since_last_response(&self) -> Option<Duration> {
-        self.heard.get().map(|heard| heard.at.elapsed())
+        self.last_current_response.get().map(|response| response.received_at.elapsed())
     }
 
-    /// For how long the state in force may lack what the origin has: since the last answer, and what that told of
-    /// its server. Without any answer since the start.
+    /// For how long the active state may have lacked changes of the origin: the time since a response last showed the
+    /// active version to be the newest one, plus the staleness of its server. Without such a response, the time since
+    /// the start.
     pub fn staleness(&self) -> Duration {
-        self.heard.get().map_or(self.started.elapsed(), |heard| heard.at.elapsed() + heard.told)
+        self.last_current_response.get().map_or(self.started_at.elapsed(), |response| {
+            response.received_at.elapsed() + response.server_staleness
+        })
     }
 
-    /// So many records of the version in force could not be put in force; servers are told with each call.
-    pub fn set_unapplied_records(&self, refused: u64) {
-        self.count(|counters| counters.unapplied_records = refused);
+    /// Sets the number of records of the active version that the consumer could not apply. Each request for changes
+    /// reports it to the server.
+    pub fn set_unapplied_records(&self, count: u64) {
+        self.update_counters(|counters| counters.unapplied_records = count);
     }
 
-    pub(super) fn count(&self, change: impl FnOnce(&mut FollowerCounters)) {
+    /// Changes the counters in place.
+    pub(super) fn update_counters(&self, change: impl FnOnce(&mut FollowerCounters)) {
         let mut counters = self.counters.get();
         change(&mut counters);
         self.counters.set(counters);
     }
 
-    pub(super) fn note_server(&self, server: SocketAddr) {
-        self.server.set(Some(server));
+    pub(super) fn set_current_server(&self, server: SocketAddr) {
+        self.current_server.set(Some(server));
     }
 
-    pub(super) fn note_call(&self, bytes: usize) {
-        self.count(|counters| {
+    /// Counts a request and its bytes.
+    pub(super) fn count_request(&self, bytes: usize) {
+        self.update_counters(|counters| {
             counters.requests_sent += 1;
             counters.bytes_sent += bytes as u64;
         });
     }
 
-    pub(super) fn note_received(&self, bytes: usize) {
-        self.count(|counters| counters.bytes_received += bytes as u64);
+    pub(super) fn count_received_bytes(&self, bytes: usize) {
+        self.update_counters(|counters| counters.bytes_received += bytes as u64);
     }
 
-    pub(super) fn note_in_force(&self, version: Version, changes: usize) {
-        self.count(|counters| {
+    /// Counts an update to this version that the consumer has applied.
+    pub(super) fn count_applied_update(&self, version: Version, changes: usize) {
+        self.update_counters(|counters| {
             counters.version = version;
             counters.applied_updates += 1;
             counters.applied_changes += changes as u64;
         });
     }
 
-    pub(super) fn note_heard(&self, at: Instant, told: Duration) {
-        self.heard.set(Some(Heard { at, told }));
+    /// Records a response that showed the active version to be the server's newest one.
+    pub(super) fn record_current_response(&self, received_at: Instant, server_staleness: Duration) {
+        self.last_current_response.set(Some(CurrentResponse { received_at, server_staleness }));
     }
 
-    /// Logs once when the state has become stale, and again when it is fresh. Never returns.
-    pub(super) async fn watch_staleness(&self) {
+    /// Logs once when the state becomes stale, and once when it no longer is. Never returns.
+    pub(super) async fn log_staleness_changes(&self) {
         let mut was_stale = false;
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(STALENESS_CHECK_INTERVAL).await;
             let staleness = self.staleness();
-            let is_stale = staleness >= STALE;
+            let is_stale = staleness >= STALE_THRESHOLD;
             let version = self.counters().version;
             if is_stale && !was_stale {
-                log::warn!("control: version {version} is stale: nothing is known since {staleness:.1?}");
+                log::warn!(
+                    "control: version {version} is stale: not confirmed as current for {staleness:.1?}"
+                );
             }
             if was_stale && !is_stale {
-                log::warn!("control: fresh again at version {version}");
+                log::warn!("control: no longer stale at version {version}");
             }
             was_stale = is_stale;
         }
--- a/crates/pondlb-control-net/src/coding.rs
+++ b/crates/pondlb-control-net/src/coding.rs
@@ -25,7 +25,7 @@
 pub enum DecodeError {
     /// The field that names the coding can't be read.
     #[error("Content-Encoding: {0}")]
-    Field(MessageError),
+    InvalidHeader(MessageError),
     /// The sender was not told that this coding is accepted.
     #[error("content coding {0:?} is not accepted")]
     UnknownCoding(String),
@@ -34,17 +34,17 @@
     TooLong(usize),
     /// It does not end where the body ends, or its check sum is wrong.
     #[error("the gzip stream is garbled: {0}")]
-    Garbled(#[source] io::Error),
+    InvalidGzip(#[source] io::Error),
 }
 
 /// The name of the coding in header fields.
 pub const GZIP: &str = "gzip";
 /// Shorter bodies are sent as they are: they fit into one packet anyway.
-const LEAST_COMPRESSED: usize = 512;
+const MIN_COMPRESSED_BYTES: usize = 512;
 /// With less room than this at the end of the content, a reader makes more to see that nothing follows.
-const ROOM_TO_SEE_THE_END: usize = 64;
+const END_OF_CONTENT_SPARE_BYTES: usize = 64;
 /// Level 1 takes less than half of the processor time of level 4, and bodies of records are longer by an eighth.
-const LEVEL: u32 = 1;
+const GZIP_LEVEL: u32 = 1;
 
 impl ContentCoding {
     /// The coding of the answer to a request with this head. Where the caller weighs codings against each other
@@ -58,8 +58,8 @@
     }
 
     /// The coding that a head names.
-    fn of(head: &Head) -> Result<ContentCoding, DecodeError> {
-        match head.single_value("Content-Encoding").map_err(DecodeError::Field)? {
+    fn from_head(head: &Head) -> Result<ContentCoding, DecodeError> {
+        match head.single_value("Content-Encoding").map_err(DecodeError::InvalidHeader)? {
             None => Ok(ContentCoding::Identity),
             Some(name) if name.eq_ignore_ascii_case("identity") => Ok(ContentCoding::Identity),
             Some(name) if name.eq_ignore_ascii_case(GZIP) => Ok(ContentCoding::Gzip),
@@ -70,7 +70,7 @@
 
 /// Compresses a body in this coding, unless it is short or does not become shorter. The coding that it has then.
 pub fn encode(plain: Vec<u8>, accepted: ContentCoding) -> (Vec<u8>, ContentCoding) {
-    if accepted == ContentCoding::Identity || plain.len() < LEAST_COMPRESSED {
+    if accepted == ContentCoding::Identity || plain.len() < MIN_COMPRESSED_BYTES {
         return (plain, ContentCoding::Identity);
     }
     match gzip(&plain) {
@@ -84,7 +84,7 @@
 /// # Errors
 /// [`DecodeError`] where the coding is unknown, or the content too long or garbled.
 pub fn decode(head: &Head, body: Vec<u8>, most_bytes: usize) -> Result<Vec<u8>, DecodeError> {
-    let content = match ContentCoding::of(head)? {
+    let content = match ContentCoding::from_head(head)? {
         ContentCoding::Identity => body,
         ContentCoding::Gzip => gunzip(&body, most_bytes)?,
     };
@@ -92,13 +92,13 @@
 }
 
 fn gzip(plain: &[u8]) -> io::Result<Vec<u8>> {
-    let mut encoder = GzEncoder::new(Vec::with_capacity(plain.len() / 4), Compression::new(LEVEL));
+    let mut encoder = GzEncoder::new(Vec::with_capacity(plain.len() / 4), Compression::new(GZIP_LEVEL));
     encoder.write_all(plain)?;
     encoder.finish()
 }
 
 /// The length that the stream tells of its content; nobody has checked it.
-fn told_length(compressed: &[u8]) -> usize {
+fn declared_length(compressed: &[u8]) -> usize {
     let told = compressed.last_chunk().map_or(0, |length| u32::from_le_bytes(*length));
     usize::try_from(told).unwrap_or(usize::MAX)
 }
@@ -106,15 +106,16 @@
 /// Decodes at most one byte more than is taken, whatever the stream would become.
 fn gunzip(compressed: &[u8], most_bytes: usize) -> Result<Vec<u8>, DecodeError> {
     let mut decoder = GzDecoder::new(compressed);
-    let mut content = Vec::with_capacity(told_length(compressed).min(most_bytes) + ROOM_TO_SEE_THE_END);
+    let mut content =
+        Vec::with_capacity(declared_length(compressed).min(most_bytes) + END_OF_CONTENT_SPARE_BYTES);
     let most_read = u64::try_from(most_bytes).unwrap_or(u64::MAX).saturating_add(1);
-    decoder.by_ref().take(most_read).read_to_end(&mut content).map_err(DecodeError::Garbled)?;
+    decoder.by_ref().take(most_read).read_to_end(&mut content).map_err(DecodeError::InvalidGzip)?;
     if content.len() > most_bytes {
         return Err(DecodeError::TooLong(most_bytes));
     }
     if !decoder.get_ref().is_empty() {
         let trailing = io::Error::new(io::ErrorKind::InvalidData, "bytes follow on its end");
-        return Err(DecodeError::Garbled(trailing));
+        return Err(DecodeError::InvalidGzip(trailing));
     }
     Ok(content)
 }
--- a/crates/pondlb-control-net/src/coding/tests.rs
+++ b/crates/pondlb-control-net/src/coding/tests.rs
@@ -56,6 +56,6 @@
         let end = lying.len() - 4;
         lying[end..].copy_from_slice(&told.to_le_bytes());
         let refused = decode(&head(Some("gzip")), lying, plain.len());
-        assert!(matches!(refused, Err(DecodeError::Garbled(_))), "{told}: {refused:?}");
+        assert!(matches!(refused, Err(DecodeError::InvalidGzip(_))), "{told}: {refused:?}");
     }
 }
--- a/crates/pondlb-control-net/src/lib.rs
+++ b/crates/pondlb-control-net/src/lib.rs
@@ -4,14 +4,14 @@
 //! consumer. [`Server`] is the origin, or a replica server that follows the origin by the same driver and serves the
 //! same calls. One thread, one task for each connection, no locks. docs/control.md describes the protocol.
 
-mod check;
 mod client;
 mod coding;
 mod http;
 mod options;
 mod server;
+mod validation;
 
-pub use check::{ValidateRecord, validate_json_shape, validate_record};
 pub use client::{FollowerConfig, FollowerCounters, FollowerStatus, UpdateDelivery, follow};
 pub use options::{OptionsError, Role, ServerOptions};
 pub use server::{Server, serve};
+pub use validation::{ValidateRecord, validate_json_shape, validate_record};
--- a/crates/pondlb-control-net/src/main.rs
+++ b/crates/pondlb-control-net/src/main.rs
@@ -10,12 +10,12 @@
 use tokio::task::LocalSet;
 
 /// The options file can't be used; a restart would change nothing.
-const FAULTY_OPTIONS: u8 = 2;
+const EXIT_INVALID_OPTIONS: u8 = 2;
 /// The machine doesn't let the program serve.
-const CANNOT_SERVE: u8 = 1;
+const EXIT_CANNOT_SERVE: u8 = 1;
 
 /// The keys of the options file, as `--help` tells them.
-const KEYS: &str = "\
+const OPTIONS_HELP: &str = "\
 Keys of the options file:
   listen                      address for followers; required
   commit                      origin: address at which changes are committed; no commits without it
@@ -37,39 +37,39 @@
 ///
 /// Exit codes: 0 ended by SIGTERM or SIGINT, 1 cannot serve, 2 faulty options file.
 #[derive(Parser)]
-#[command(version, after_help = KEYS)]
+#[command(version, after_help = OPTIONS_HELP)]
 struct Arguments {
     /// The options file, in TOML. An origin has `commit` (address for changes) or `initial` (file of the first
     /// records), a replica server has `follow` (addresses of control servers); both have `listen`
     #[arg(value_name = "FILE.toml")]
-    file: PathBuf,
+    options_file: PathBuf,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let level = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(level).format_timestamp_millis().init();
-    let options = match ServerOptions::from_file(&arguments.file) {
+    let options = match ServerOptions::from_file(&arguments.options_file) {
         Ok(options) => options,
         Err(faults) => {
             faults.iter().for_each(|fault| log::error!("{fault}"));
-            return ExitCode::from(FAULTY_OPTIONS);
+            return ExitCode::from(EXIT_INVALID_OPTIONS);
         }
     };
     let served = Builder::new_current_thread()
         .enable_all()
         .build()
-        .and_then(|runtime| LocalSet::new().block_on(&runtime, serve_until_told(options)));
+        .and_then(|runtime| LocalSet::new().block_on(&runtime, serve_until_signal(options)));
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error!("{error}");
-            ExitCode::from(CANNOT_SERVE)
+            ExitCode::from(EXIT_CANNOT_SERVE)
         }
     }
 }
 
-async fn serve_until_told(options: ServerOptions) -> std::io::Result<()> {
+async fn serve_until_signal(options: ServerOptions) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/pondlb-control-net/src/options.rs
+++ b/crates/pondlb-control-net/src/options.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
-use crate::check::{ValidateRecord, validate_json_shape, validate_record};
+use crate::validation::{ValidateRecord, validate_json_shape, validate_record};
 
 /// What a control server is in its group.
 #[derive(Clone, Debug)]
@@ -96,15 +96,15 @@
     "snapshot_pieces_per_second",
 ];
 
-const DEFAULT_HOLD_MS: u64 = 1000;
-const DEFAULT_GATHER_MS: u64 = 200;
-const DEFAULT_PIECE_BYTES: usize = 16 * 1024;
+const DEFAULT_MAX_HOLD_MS: u64 = 1000;
+const DEFAULT_MIN_UPDATE_INTERVAL_MS: u64 = 200;
+const DEFAULT_MAX_CHANGES_BYTES: usize = 16 * 1024;
 /// The longest piece of changes that a server may be told to give; pieces of snapshots are shorter.
-pub const MOST_PIECE_BYTES: usize = 1 << 20;
-const DEFAULT_FOLLOWERS: usize = 2000;
-const DEFAULT_MEMORY_MB: usize = 256;
+pub const CHANGES_BYTES_LIMIT: usize = 1 << 20;
+const DEFAULT_MAX_FOLLOWER_CONNECTIONS: usize = 2000;
+const DEFAULT_MEMORY_LIMIT_MIB: usize = 256;
 /// 64 MB a second where each piece is full.
-const DEFAULT_SNAPSHOT_PIECES: f64 = 1000.0;
+const DEFAULT_SNAPSHOT_PAGES_PER_SECOND: f64 = 1000.0;
 
 impl ServerOptions {
     /// Options with their defaults, for an origin or a replica server on this address.
@@ -114,11 +114,11 @@
             follower_number: 0,
             listen_address: listen,
             role,
-            min_update_interval: Duration::from_millis(DEFAULT_GATHER_MS),
-            max_changes_bytes: DEFAULT_PIECE_BYTES,
-            max_follower_connections: DEFAULT_FOLLOWERS,
-            memory_limit_mib: DEFAULT_MEMORY_MB,
-            snapshot_pages_per_second: DEFAULT_SNAPSHOT_PIECES,
+            min_update_interval: Duration::from_millis(DEFAULT_MIN_UPDATE_INTERVAL_MS),
+            max_changes_bytes: DEFAULT_MAX_CHANGES_BYTES,
+            max_follower_connections: DEFAULT_MAX_FOLLOWER_CONNECTIONS,
+            memory_limit_mib: DEFAULT_MEMORY_LIMIT_MIB,
+            snapshot_pages_per_second: DEFAULT_SNAPSHOT_PAGES_PER_SECOND,
             validate: validate_json_shape,
         }
     }
@@ -131,11 +131,11 @@
         let whole = |reason| vec![OptionsError { file: file.to_path_buf(), key: None, reason }];
         let text = std::fs::read_to_string(file).map_err(|error| whole(error.to_string()))?;
         let table: Table = text.parse().map_err(|error: toml::de::Error| whole(error.to_string()))?;
-        let mut fields = Fields { file, table, faults: Vec::new() };
-        let options = fields.options();
+        let mut fields = OptionsReader { file, table, errors: Vec::new() };
+        let options = fields.read_options();
         match options {
-            Some(options) if fields.faults.is_empty() => Ok(options),
-            _ => Err(fields.faults),
+            Some(options) if fields.errors.is_empty() => Ok(options),
+            _ => Err(fields.errors),
         }
     }
 
@@ -168,31 +168,35 @@
 }
 
 /// The table of an options file while it is read.
-struct Fields<'a> {
+struct OptionsReader<'a> {
     file: &'a Path,
     table: Table,
-    faults: Vec<OptionsError>,
+    errors: Vec<OptionsError>,
 }
 
-impl Fields<'_> {
+impl OptionsReader<'_> {
     /// Notes every fault on its way; none where a required key is missing or faulty.
-    fn options(&mut self) -> Option<ServerOptions> {
-        self.refuse_unknown_keys();
-        let listen = self.required::<SocketAddr>("listen");
-        let role = self.role();
-        let name = self.value("name", listen.map_or("control".into(), default_name));
-        if !is_caller_name(&name) {
-            self.refuse(
+    fn read_options(&mut self) -> Option<ServerOptions> {
+        self.report_unknown_keys();
+        let listen = self.required_value::<SocketAddr>("listen");
+        let role = self.read_role();
+        let name = self.value_or("name", listen.map_or("control".into(), default_name));
+        if !is_valid_caller_name(&name) {
+            self.report(
                 "name",
-                format!("{name:?}: 1 to {MOST_NAME} letters, digits, '-', '_' or '.' are accepted"),
+                format!(
+                    "{name:?}: 1 to {MAX_CALLER_NAME_BYTES} letters, digits, '-', '_' or '.' are accepted"
+                ),
             );
         }
-        let number = self.value("number", 0);
-        let gather_ms = self.within("gather_ms", DEFAULT_GATHER_MS, 0, 10_000);
-        let piece_bytes = self.within("piece_bytes", DEFAULT_PIECE_BYTES, 1024, MOST_PIECE_BYTES);
-        let followers = self.within("followers", DEFAULT_FOLLOWERS, 1, 100_000);
-        let memory_mb = self.within("memory_mb", DEFAULT_MEMORY_MB, 16, 1 << 20);
-        let pieces = self.within("snapshot_pieces_per_second", DEFAULT_SNAPSHOT_PIECES, 1.0, 1e6);
+        let number = self.value_or("number", 0);
+        let gather_ms = self.value_in_range("gather_ms", DEFAULT_MIN_UPDATE_INTERVAL_MS, 0, 10_000);
+        let piece_bytes =
+            self.value_in_range("piece_bytes", DEFAULT_MAX_CHANGES_BYTES, 1024, CHANGES_BYTES_LIMIT);
+        let followers = self.value_in_range("followers", DEFAULT_MAX_FOLLOWER_CONNECTIONS, 1, 100_000);
+        let memory_mb = self.value_in_range("memory_mb", DEFAULT_MEMORY_LIMIT_MIB, 16, 1 << 20);
+        let pieces =
+            self.value_in_range("snapshot_pieces_per_second", DEFAULT_SNAPSHOT_PAGES_PER_SECOND, 1.0, 1e6);
         let options = ServerOptions {
             name,
             follower_number: number,
@@ -205,46 +209,46 @@
             ..ServerOptions::new(listen?, role?)
         };
         if let Err(error) = options.initial_store() {
-            self.refuse("initial", error.to_string());
+            self.report("initial", error.to_string());
         }
         Some(options)
     }
 
-    fn role(&mut self) -> Option<Role> {
-        let follow = self.optional::<Vec<SocketAddr>>("follow");
-        let commit = self.optional::<SocketAddr>("commit");
-        let initial = self.optional::<PathBuf>("initial");
-        let epoch = self.optional::<u64>("epoch");
-        let hold_ms = self.within("hold_ms", DEFAULT_HOLD_MS, 10, 60_000);
+    fn read_role(&mut self) -> Option<Role> {
+        let follow = self.optional_value::<Vec<SocketAddr>>("follow");
+        let commit = self.optional_value::<SocketAddr>("commit");
+        let initial = self.optional_value::<PathBuf>("initial");
+        let epoch = self.optional_value::<u64>("epoch");
+        let hold_ms = self.value_in_range("hold_ms", DEFAULT_MAX_HOLD_MS, 10, 60_000);
         if !self.table.contains_key("follow") {
             if !self.table.contains_key("commit") && !self.table.contains_key("initial") {
-                self.refuse("follow", "follow, or commit or initial, is required".into());
+                self.report("follow", "follow, or commit or initial, is required".into());
                 return None;
             }
             if epoch == Some(0) {
-                self.refuse("epoch", "0: 1 or more is accepted".into());
+                self.report("epoch", "0: 1 or more is accepted".into());
             }
-            let initial = initial.map_or(Some(Vec::new()), |initial| self.initial(&initial))?;
+            let initial = initial.map_or(Some(Vec::new()), |initial| self.read_initial_records(&initial))?;
             return Some(Role::Origin {
                 commit_address: commit,
                 initial_records: initial,
-                epoch: epoch.unwrap_or_else(epoch_of_now),
+                epoch: epoch.unwrap_or_else(current_time_epoch),
             });
         }
         for key in ["commit", "initial", "epoch"] {
             if self.table.contains_key(key) {
-                self.refuse(key, "is accepted of an origin only, not beside follow".into());
+                self.report(key, "is accepted of an origin only, not beside follow".into());
             }
         }
         let follow = follow?;
         if follow.is_empty() {
-            self.refuse("follow", "one address or more is accepted".into());
+            self.report("follow", "one address or more is accepted".into());
         }
         Some(Role::Replica { servers: follow, max_hold: Duration::from_millis(hold_ms) })
     }
 
     /// The initial records; the path is relative to the options file.
-    fn initial(&mut self, path: &Path) -> Option<Vec<NewChange>> {
+    fn read_initial_records(&mut self, path: &Path) -> Option<Vec<NewChange>> {
         let path = self.file.parent().unwrap_or(Path::new("")).join(path);
         let read = std::fs::read(&path).map_err(|error| error.to_string());
         let commit = read.and_then(|bytes| {
@@ -253,54 +257,54 @@
         match commit {
             Ok(commit) => Some(commit.changes),
             Err(reason) => {
-                self.refuse("initial", format!("{}: {reason}", path.display()));
+                self.report("initial", format!("{}: {reason}", path.display()));
                 None
             }
         }
     }
 
-    fn refuse_unknown_keys(&mut self) {
+    fn report_unknown_keys(&mut self) {
         let unknown: Vec<String> =
             self.table.keys().filter(|key| !KEYS.contains(&key.as_str())).cloned().collect();
         for key in unknown {
             let reason = format!("{key}: no such key; accepted are {}", KEYS.join(", "));
-            self.faults.push(OptionsError { file: self.file.to_path_buf(), key: None, reason });
+            self.errors.push(OptionsError { file: self.file.to_path_buf(), key: None, reason });
         }
     }
 
-    fn refuse(&mut self, key: &'static str, reason: String) {
-        self.faults.push(OptionsError { file: self.file.to_path_buf(), key: Some(key), reason });
+    fn report(&mut self, key: &'static str, reason: String) {
+        self.errors.push(OptionsError { file: self.file.to_path_buf(), key: Some(key), reason });
     }
 
-    fn optional<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
+    fn optional_value<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
         let value: Value = self.table.get(key)?.clone();
         match value.try_into() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.refuse(key, error.to_string().trim_end().to_string());
+                self.report(key, error.to_string().trim_end().to_string());
                 None
             }
         }
     }
 
-    fn required<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
+    fn required_value<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
         if !self.table.contains_key(key) {
-            self.refuse(key, "is required".into());
+            self.report(key, "is required".into());
         }
-        self.optional(key)
+        self.optional_value(key)
     }
 
-    fn value<T: DeserializeOwned>(&mut self, key: &'static str, default: T) -> T {
-        self.optional(key).unwrap_or(default)
+    fn value_or<T: DeserializeOwned>(&mut self, key: &'static str, default: T) -> T {
+        self.optional_value(key).unwrap_or(default)
     }
 
-    fn within<T>(&mut self, key: &'static str, default: T, least: T, most: T) -> T
+    fn value_in_range<T>(&mut self, key: &'static str, default: T, least: T, most: T) -> T
     where
         T: DeserializeOwned + PartialOrd + fmt::Display + Copy,
     {
-        let value = self.value(key, default);
+        let value = self.value_or(key, default);
         if !(least..=most).contains(&value) {
-            self.refuse(key, format!("{value}: {least} to {most} is accepted"));
+            self.report(key, format!("{value}: {least} to {most} is accepted"));
         }
         value
     }
@@ -312,16 +316,16 @@
 }
 
 /// The longest name of a caller.
-pub const MOST_NAME: usize = 64;
+pub const MAX_CALLER_NAME_BYTES: usize = 64;
 
 /// Whether a follower may call itself so.
-pub fn is_caller_name(name: &str) -> bool {
+pub fn is_valid_caller_name(name: &str) -> bool {
     let is_accepted = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    (1..=MOST_NAME).contains(&name.len()) && name.bytes().all(is_accepted)
+    (1..=MAX_CALLER_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_accepted)
 }
 
 /// An origin that is started later has a greater epoch.
-fn epoch_of_now() -> u64 {
+fn current_time_epoch() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX).max(1)
 }
--- a/crates/pondlb-control-net/src/server/followers.rs
+++ b/crates/pondlb-control-net/src/server/followers.rs
@@ -10,20 +10,20 @@
 use super::request::Caller;
 
 /// A follower that has not called for so long is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const FOLLOWER_EXPIRY: Duration = Duration::from_secs(60);
 
 /// The answer to `GET /control/followers`.
 #[derive(Debug, Serialize)]
-pub struct FollowersAnswer {
+pub struct FollowersResponse {
     /// The server's own version.
     pub version: Version,
     /// Those that called lately, in the order of their names.
-    pub followers: Vec<Follower>,
+    pub followers: Vec<FollowerState>,
 }
 
 /// One follower in the answer.
 #[derive(Debug, Serialize)]
-pub struct Follower {
+pub struct FollowerState {
     /// As it calls itself.
     pub name: String,
     /// What it has in force, as its last call told.
@@ -31,7 +31,7 @@
     /// The digest that it sent was right, and all records are in force.
     pub in_sync: bool,
     /// How many records it could not put in force: its settings as a whole do not allow them.
-    pub refused: u64,
+    pub unapplied_records: u64,
     /// How long ago its last call came.
     pub seen_ms: u64,
 }
@@ -39,53 +39,60 @@
 /// The followers that called lately, a bounded number of them.
 #[derive(Debug)]
 pub struct FollowerTable {
-    most: usize,
-    rows: BTreeMap<String, Row>,
+    capacity: usize,
+    entries: BTreeMap<String, FollowerEntry>,
 }
 
 #[derive(Debug)]
-struct Row {
+struct FollowerEntry {
     version: Version,
-    has_all: bool,
+    has_current_records: bool,
     refused: u64,
-    seen: Instant,
+    last_request_at: Instant,
 }
 
 impl FollowerTable {
     /// An empty table for so many followers.
     pub fn new(most: usize) -> FollowerTable {
-        FollowerTable { most, rows: BTreeMap::new() }
+        FollowerTable { capacity: most, entries: BTreeMap::new() }
     }
 
     /// A call of a follower has come. A new one is not noted where the table is full of others.
-    pub fn note(&mut self, Caller { name, refused }: &Caller, version: Version, has_all: bool, now: Instant) {
-        let row = Row { version, has_all, refused: *refused, seen: now };
-        if let Some(known) = self.rows.get_mut(name.as_str()) {
+    pub fn record_request(
+        &mut self,
+        Caller { name, unapplied_records: refused }: &Caller,
+        version: Version,
+        has_all: bool,
+        now: Instant,
+    ) {
+        let row =
+            FollowerEntry { version, has_current_records: has_all, refused: *refused, last_request_at: now };
+        if let Some(known) = self.entries.get_mut(name.as_str()) {
             *known = row;
             return;
         }
-        if self.rows.len() >= self.most {
-            self.forget(now);
+        if self.entries.len() >= self.capacity {
+            self.remove_expired(now);
         }
-        if self.rows.len() < self.most {
-            self.rows.insert(name.clone(), row);
+        if self.entries.len() < self.capacity {
+            self.entries.insert(name.clone(), row);
         }
     }
 
     /// All that have called lately.
-    pub fn list(&mut self, now: Instant) -> Vec<Follower> {
-        self.forget(now);
-        let follower = |(name, row): (&String, &Row)| Follower {
+    pub fn list(&mut self, now: Instant) -> Vec<FollowerState> {
+        self.remove_expired(now);
+        let follower = |(name, row): (&String, &FollowerEntry)| FollowerState {
             name: name.clone(),
             version: row.version,
-            in_sync: row.has_all && row.refused == 0,
-            refused: row.refused,
-            seen_ms: u64::try_from(now.duration_since(row.seen).as_millis()).unwrap_or(u64::MAX),
+            in_sync: row.has_current_records && row.refused == 0,
+            unapplied_records: row.refused,
+            seen_ms: u64::try_from(now.duration_since(row.last_request_at).as_millis()).unwrap_or(u64::MAX),
         };
-        self.rows.iter().map(follower).collect()
+        self.entries.iter().map(follower).collect()
     }
 
-    fn forget(&mut self, now: Instant) {
-        self.rows.retain(|_, row| now.duration_since(row.seen) < FORGOTTEN_AFTER);
+    fn remove_expired(&mut self, now: Instant) {
+        self.entries.retain(|_, row| now.duration_since(row.last_request_at) < FOLLOWER_EXPIRY);
     }
 }
--- a/crates/pondlb-control-net/src/server/mod.rs
+++ b/crates/pondlb-control-net/src/server/mod.rs
@@ -1,11 +1,11 @@
 //! A control server: the origin, or a replica server that follows it.
 
-mod answer_cache;
-mod calls;
 mod commit;
 mod connection;
+mod follower_requests;
 mod followers;
 mod request;
+mod response_cache;
 mod state;
 #[cfg(test)]
 mod tests;
@@ -22,27 +22,27 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::sleep;
 
-use crate::check::validate_json_shape;
 use crate::client::{self, FollowerConfig, UpdateDelivery, follow};
 use crate::options::{Role, ServerOptions};
-use connection::{serve_committer, serve_follower, turn_away};
-use state::State;
+use crate::validation::validate_json_shape;
+use connection::{refuse_connection, serve_commit_client, serve_follower};
+use state::ServerState;
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 /// How long to wait when no connection can be accepted, against spinning while descriptors are short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Connections of those who commit: each may hold the longest body.
-const MOST_COMMITTERS: usize = 4;
+const MAX_COMMIT_CONNECTIONS: usize = 4;
 /// How many may be told at once that there is no place for them; others are closed without a word.
-const MOST_TURNED_AWAY: usize = 16;
+const MAX_REFUSAL_TASKS: usize = 16;
 
 /// A control server that listens.
 pub struct Server {
-    state: Rc<State>,
-    following: Option<(FollowerConfig, Rc<client::FollowerStatus>)>,
-    listener: TcpListener,
-    committers: Option<TcpListener>,
+    state: Rc<ServerState>,
+    follower: Option<(FollowerConfig, Rc<client::FollowerStatus>)>,
+    follower_listener: TcpListener,
+    commit_listener: Option<TcpListener>,
 }
 
 /// Listens and serves without end.
@@ -63,9 +63,9 @@
         let store = options
             .initial_store()
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
-        let listener = listen("listen", options.listen_address)?;
+        let listener = bind_listener("listen", options.listen_address)?;
         let committers = match &options.role {
-            Role::Origin { commit_address: Some(address), .. } => Some(listen("commit", *address)?),
+            Role::Origin { commit_address: Some(address), .. } => Some(bind_listener("commit", *address)?),
             _ => None,
         };
         let following = match &options.role {
@@ -80,8 +80,8 @@
         let status = following.as_ref().map(|(_, status)| status.clone());
         let version = store.version();
         log::info!("{} listens on {}: version {version}", options.name, listener.local_addr()?);
-        let state = Rc::new(State::new(options, store, status));
-        Ok(Server { state, following, listener, committers })
+        let state = Rc::new(ServerState::new(options, store, status));
+        Ok(Server { state, follower: following, follower_listener: listener, commit_listener: committers })
     }
 
     /// Where followers connect.
@@ -89,7 +89,7 @@
     /// # Errors
     /// As the system tells.
     pub fn listen_address(&self) -> io::Result<SocketAddr> {
-        self.listener.local_addr()
+        self.follower_listener.local_addr()
     }
 
     /// Where changes are committed; none at a replica server.
@@ -97,24 +97,28 @@
     /// # Errors
     /// As the system tells.
     pub fn commit_address(&self) -> io::Result<Option<SocketAddr>> {
-        self.committers.as_ref().map(TcpListener::local_addr).transpose()
+        self.commit_listener.as_ref().map(TcpListener::local_addr).transpose()
     }
 
     /// State of its own following; none at the origin.
     pub fn follower_status(&self) -> Option<Rc<client::FollowerStatus>> {
-        self.following.as_ref().map(|(_, status)| status.clone())
+        self.follower.as_ref().map(|(_, status)| status.clone())
     }
 
     /// Serves without end; dropping it ends all connections.
     pub async fn run(self) {
-        let Server { state, following, listener, committers } = self;
-        let followers = accept(&listener, state.options().max_follower_connections, |stream| {
+        let Server { state, follower: following, follower_listener: listener, commit_listener: committers } =
+            self;
+        let followers = accept_connections(&listener, state.options().max_follower_connections, |stream| {
             serve_follower(state.clone(), stream)
         });
         let committers = async {
             match &committers {
                 Some(listener) => {
-                    accept(listener, MOST_COMMITTERS, |stream| serve_committer(state.clone(), stream)).await
+                    accept_connections(listener, MAX_COMMIT_CONNECTIONS, |stream| {
+                        serve_commit_client(state.clone(), stream)
+                    })
+                    .await
                 }
                 None => pending().await,
             }
@@ -134,11 +138,11 @@
 }
 
 /// Follows other servers and feeds the store with what is verified.
-async fn replicate(state: Rc<State>, following: FollowerConfig, status: Rc<client::FollowerStatus>) {
+async fn replicate(state: Rc<ServerState>, following: FollowerConfig, status: Rc<client::FollowerStatus>) {
     let (deliver, mut delivered) = mpsc::unbounded_channel();
     let feed = async {
         while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
-            state.replicate(&update);
+            state.apply_update(&update);
             log::debug!("version {} with {} changes", update.version, update.changes.len());
             let _ended = applied.send(());
         }
@@ -150,43 +154,43 @@
 }
 
 /// Accepts connections without end, and serves so many at once.
-async fn accept<F>(listener: &TcpListener, most: usize, serve: impl Fn(TcpStream) -> F)
+async fn accept_connections<F>(listener: &TcpListener, most: usize, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
 {
     let (mut served, mut turned_away) = (JoinSet::new(), JoinSet::new());
     loop {
         tokio::select! {
-            Some(ended) = served.join_next(), if !served.is_empty() => note_end(ended),
-            Some(ended) = turned_away.join_next(), if !turned_away.is_empty() => note_end(ended),
+            Some(ended) = served.join_next(), if !served.is_empty() => log_task_failure(ended),
+            Some(ended) = turned_away.join_next(), if !turned_away.is_empty() => log_task_failure(ended),
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) if served.len() < most => drop(served.spawn_local(serve(stream))),
-                Ok((stream, _)) if turned_away.len() < MOST_TURNED_AWAY => {
-                    turned_away.spawn_local(turn_away(stream));
+                Ok((stream, _)) if turned_away.len() < MAX_REFUSAL_TASKS => {
+                    turned_away.spawn_local(refuse_connection(stream));
                 }
                 Ok(_) => {}
                 // Out of descriptors, or the other side has gone again: neither is a reason to end or to spin.
                 Err(error) => {
                     log::warn!("a connection can't be accepted: {error}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
     }
 }
 
-fn note_end(ended: Result<(), JoinError>) {
+fn log_task_failure(ended: Result<(), JoinError>) {
     if let Err(error) = ended {
         log::error!("a connection has failed: {error}");
     }
 }
 
-fn listen(key: &str, address: SocketAddr) -> io::Result<TcpListener> {
+fn bind_listener(key: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let bind = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     bind().map_err(|error| io::Error::new(error.kind(), format!("{key}: {address}: {error}")))
 }
--- a/crates/pondlb-control-net/src/server/state.rs
+++ b/crates/pondlb-control-net/src/server/state.rs
@@ -8,52 +8,56 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::answer_cache::{AnswerCache, AnswerKey, Content, EncodedAnswer};
-use super::followers::{FollowerTable, FollowersAnswer};
+use super::followers::{FollowerTable, FollowersResponse};
 use super::request::Caller;
+use super::response_cache::{EncodedResponse, ResponseCache, ResponseContent, ResponseKey};
 use super::token_bucket::TokenBucket;
-use crate::check::check_classes_left;
 use crate::client;
 use crate::coding;
 use crate::options::ServerOptions;
+use crate::validation::validate_remaining_classes;
 
 /// The longest piece of a snapshot, unless one record alone is longer.
-const SNAPSHOT_PIECE_BYTES: usize = 64 * 1024;
+const SNAPSHOT_PAGE_BYTES: usize = 64 * 1024;
 /// How long the first piece of a snapshot may wait for its turn: more snapshots than can be given are not begun.
-const FIRST_PIECE_WAIT: Duration = Duration::from_millis(100);
+const FIRST_PAGE_MAX_WAIT: Duration = Duration::from_millis(100);
 /// The same for further pieces, so that what is begun is ended. A caller waits 2.2 s.
-const NEXT_PIECE_WAIT: Duration = Duration::from_millis(1500);
+const NEXT_PAGE_MAX_WAIT: Duration = Duration::from_millis(1500);
 
 /// The staleness that answers tell is rounded up to this, so that callers at about the same time share one.
-const STALE_STEP_MS: u64 = 100;
+const STALENESS_STEP_MS: u64 = 100;
 
 /// The records of a server and what bounds its work. Cells are borrowed inside single calls only.
-pub struct State {
+pub struct ServerState {
     options: ServerOptions,
     store: RefCell<Store>,
-    answers: RefCell<AnswerCache>,
+    responses: RefCell<ResponseCache>,
     version: watch::Sender<Version>,
     followers: RefCell<FollowerTable>,
-    snapshot_pieces: RefCell<TokenBucket>,
+    snapshot_page_rate: RefCell<TokenBucket>,
     /// State of the own following; none at the origin.
-    following: Option<Rc<client::FollowerStatus>>,
+    follower_status: Option<Rc<client::FollowerStatus>>,
 }
 
-impl State {
+impl ServerState {
     /// The state of a server that begins with this store.
-    pub fn new(options: ServerOptions, store: Store, following: Option<Rc<client::FollowerStatus>>) -> State {
+    pub fn new(
+        options: ServerOptions,
+        store: Store,
+        following: Option<Rc<client::FollowerStatus>>,
+    ) -> ServerState {
         let (version, _) = watch::channel(store.version());
-        State {
+        ServerState {
             version,
             store: RefCell::new(store),
-            answers: RefCell::default(),
+            responses: RefCell::default(),
             followers: RefCell::new(FollowerTable::new(options.max_follower_connections)),
-            snapshot_pieces: RefCell::new(TokenBucket::new(
+            snapshot_page_rate: RefCell::new(TokenBucket::new(
                 options.snapshot_pages_per_second,
                 Instant::now(),
             )),
             options,
-            following,
+            follower_status: following,
         }
     }
 
@@ -68,7 +72,7 @@
     }
 
     /// Told of each new version.
-    pub fn versions(&self) -> watch::Receiver<Version> {
+    pub fn subscribe_versions(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
 
@@ -84,34 +88,34 @@
 
     /// Commits changes, all or none.
     pub fn commit(&self, changes: &[NewChange]) -> Result<Version, CommitError> {
-        check_classes_left(&self.store.borrow(), changes)?;
+        validate_remaining_classes(&self.store.borrow(), changes)?;
         let version = self.store.borrow_mut().commit(changes, &self.options.validate)?;
-        self.note_changed(version);
+        self.publish_version(version);
         Ok(version)
     }
 
     /// Takes what the own replica has verified.
-    pub fn replicate(&self, update: &Update) {
+    pub fn apply_update(&self, update: &Update) {
         self.store.borrow_mut().apply_update(update);
         let version = self.store.borrow().version();
-        self.note_changed(version);
+        self.publish_version(version);
     }
 
     /// An answer about all records as they are now; encoded once for all callers that ask for the same.
-    pub fn answer(&self, key: AnswerKey) -> serde_json::Result<EncodedAnswer> {
+    pub fn response(&self, key: ResponseKey) -> serde_json::Result<EncodedResponse> {
         let version = self.version();
-        if let Some(answer) = self.answers.borrow().get(version, &key) {
+        if let Some(answer) = self.responses.borrow().get(version, &key) {
             return Ok(answer);
         }
         let answer = self.encode(&key)?;
-        self.answers.borrow_mut().insert(version, key, answer.clone());
+        self.responses.borrow_mut().insert(version, key, answer.clone());
         Ok(answer)
     }
 
     /// How long the next piece of a snapshot has to wait; none where it would be too long.
-    pub fn wait_for_snapshot_piece(&self, is_first: bool) -> Option<Duration> {
-        let most = if is_first { FIRST_PIECE_WAIT } else { NEXT_PIECE_WAIT };
-        self.snapshot_pieces.borrow_mut().take(Instant::now(), most)
+    pub fn reserve_snapshot_page(&self, is_first: bool) -> Option<Duration> {
+        let most = if is_first { FIRST_PAGE_MAX_WAIT } else { NEXT_PAGE_MAX_WAIT };
+        self.snapshot_page_rate.borrow_mut().take(Instant::now(), most)
     }
 
     /// Whether there is a bucket of this number.
@@ -120,14 +124,14 @@
     }
 
     /// A follower has called with this version and digest.
-    pub fn note_follower(&self, caller: &Caller, version: Version, digest: Digest) {
+    pub fn record_follower(&self, caller: &Caller, version: Version, digest: Digest) {
         let has_all = version == self.version() && digest == self.digest();
-        self.followers.borrow_mut().note(caller, version, has_all, Instant::now());
+        self.followers.borrow_mut().record_request(caller, version, has_all, Instant::now());
     }
 
     /// The table of followers.
-    pub fn followers(&self) -> FollowersAnswer {
-        FollowersAnswer {
+    pub fn followers(&self) -> FollowersResponse {
+        FollowersResponse {
             version: self.version(),
             followers: self.followers.borrow_mut().list(Instant::now()),
         }
@@ -135,33 +139,36 @@
 
     /// For how many milliseconds the server has not heard from the origin, rounded up; 0 at the origin itself.
     pub fn stale_ms(&self) -> u64 {
-        let staleness = self.following.as_ref().map_or(Duration::ZERO, |status| status.staleness());
+        let staleness = self.follower_status.as_ref().map_or(Duration::ZERO, |status| status.staleness());
         let stale_ms = u64::try_from(staleness.as_millis()).unwrap_or(u64::MAX);
-        stale_ms.checked_next_multiple_of(STALE_STEP_MS).unwrap_or(u64::MAX)
+        stale_ms.checked_next_multiple_of(STALENESS_STEP_MS).unwrap_or(u64::MAX)
     }
 
-    fn note_changed(&self, version: Version) {
-        self.answers.borrow_mut().clear();
+    fn publish_version(&self, version: Version) {
+        self.responses.borrow_mut().clear();
         self.version.send_replace(version);
     }
 
-    fn encode(&self, AnswerKey { content, accepted }: &AnswerKey) -> serde_json::Result<EncodedAnswer> {
+    fn encode(
+        &self,
+        ResponseKey { content, accepted_coding: accepted }: &ResponseKey,
+    ) -> serde_json::Result<EncodedResponse> {
         let store = self.store.borrow();
         let (mut has_changes, mut more) = (false, false);
         let plain = match content {
-            Content::Changes { from, stale_ms } => {
+            ResponseContent::Changes { from, stale_ms } => {
                 let mut answer = store.changes_since(*from, self.options.max_changes_bytes);
                 answer.stale_ms = *stale_ms;
                 (has_changes, more) = (!answer.changes.is_empty(), answer.has_more);
                 serde_json::to_vec(&answer)?
             }
-            Content::Snapshot { after } => {
-                serde_json::to_vec(&store.snapshot_page(after.as_ref(), SNAPSHOT_PIECE_BYTES))?
+            ResponseContent::Snapshot { after } => {
+                serde_json::to_vec(&store.snapshot_page(after.as_ref(), SNAPSHOT_PAGE_BYTES))?
             }
-            Content::Digests => serde_json::to_vec(&store.bucket_digests())?,
-            Content::Bucket(bucket) => serde_json::to_vec(&store.bucket_records(*bucket))?,
+            ResponseContent::Digests => serde_json::to_vec(&store.bucket_digests())?,
+            ResponseContent::Bucket(bucket) => serde_json::to_vec(&store.bucket_records(*bucket))?,
         };
         let (body, coding) = coding::encode(plain, *accepted);
-        Ok(EncodedAnswer { body: body.into(), coding, has_changes, more })
+        Ok(EncodedResponse { body: body.into(), coding, has_changes, has_more: more })
     }
 }
--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -9,18 +9,20 @@
 use pondlb_http::Head;
 use tokio::time::Instant;
 
-use super::answer_cache::{AnswerCache, AnswerKey, Content, EncodedAnswer, MOST_ANSWERS, MOST_BYTES};
 use super::followers::FollowerTable;
 use super::request::{Caller, Request};
-use super::state::State;
+use super::response_cache::{
+    EncodedResponse, MAX_CACHED_BYTES, MAX_CACHED_RESPONSES, ResponseCache, ResponseContent, ResponseKey,
+};
+use super::state::ServerState;
 use super::token_bucket::TokenBucket;
-use crate::check::validate_json_shape;
 use crate::coding::ContentCoding;
 use crate::options::{Role, ServerOptions};
+use crate::validation::validate_json_shape;
 
 fn read(line: &str) -> String {
     let head = Head { start_line: line.to_string(), fields: Vec::new() };
-    match Request::read(&head) {
+    match Request::parse(&head) {
         Ok(request) => format!("{request:?}\n"),
         Err(error) => format!("{error}\n"),
     }
@@ -67,18 +69,18 @@
     let now = Instant::now();
     let mut table = FollowerTable::new(2);
     let version = |revision| Version { epoch: 7, revision };
-    let caller = |name: &str| Caller { name: name.into(), refused: 0 };
-    table.note(&caller("a"), version(1), false, now);
-    table.note(&caller("b"), version(1), true, now + Duration::from_secs(30));
-    table.note(&caller("c"), version(1), true, now + Duration::from_secs(30));
-    table.note(&caller("a"), version(2), true, now + Duration::from_secs(31));
+    let caller = |name: &str| Caller { name: name.into(), unapplied_records: 0 };
+    table.record_request(&caller("a"), version(1), false, now);
+    table.record_request(&caller("b"), version(1), true, now + Duration::from_secs(30));
+    table.record_request(&caller("c"), version(1), true, now + Duration::from_secs(30));
+    table.record_request(&caller("a"), version(2), true, now + Duration::from_secs(31));
     let names = |table: &mut FollowerTable, seconds| {
         let rows = table.list(now + Duration::from_secs(seconds));
         rows.iter().map(|row| format!("{}@{}:{} ", row.name, row.version, row.seen_ms)).collect::<String>()
     };
     assert_eq!(names(&mut table, 32), "a@7.2:1000 b@7.1:2000 ");
     assert_eq!(names(&mut table, 90), "a@7.2:59000 ");
-    table.note(&caller("c"), version(3), true, now + Duration::from_secs(90));
+    table.record_request(&caller("c"), version(3), true, now + Duration::from_secs(90));
     assert_eq!(names(&mut table, 100), "c@7.3:10000 ");
 }
 
@@ -88,9 +90,14 @@
     let mut table = FollowerTable::new(1);
     for (refused, has_all, in_sync) in [(0, true, true), (1, true, false), (0, false, false), (0, true, true)]
     {
-        table.note(&Caller { name: "a".into(), refused }, Version { epoch: 7, revision: 1 }, has_all, now);
+        table.record_request(
+            &Caller { name: "a".into(), unapplied_records: refused },
+            Version { epoch: 7, revision: 1 },
+            has_all,
+            now,
+        );
         let row = table.list(now).remove(0);
-        assert_eq!((row.refused, row.in_sync), (refused, in_sync));
+        assert_eq!((row.unapplied_records, row.in_sync), (refused, in_sync));
     }
 }
 
@@ -107,7 +114,7 @@
         validate: validate_json_shape,
         ..ServerOptions::new(([127, 0, 0, 1], 0).into(), role)
     };
-    let state = State::new(options, Store::new(7, Limits::default()), None);
+    let state = ServerState::new(options, Store::new(7, Limits::default()), None);
     let set = |name| class_change(name, Some("{}"));
     let remove = |name| class_change(name, None);
     let upstream = NewChange {
@@ -159,33 +166,33 @@
     assert_eq!(bucket.take(now + ms(60_000), none), None);
 }
 
-fn bucket_key(bucket: usize) -> AnswerKey {
-    AnswerKey { content: Content::Bucket(bucket), accepted: ContentCoding::Identity }
+fn bucket_key(bucket: usize) -> ResponseKey {
+    ResponseKey { content: ResponseContent::Bucket(bucket), accepted_coding: ContentCoding::Identity }
 }
 
-fn answer_of(bytes: usize) -> EncodedAnswer {
+fn answer_of(bytes: usize) -> EncodedResponse {
     let coding = ContentCoding::Identity;
-    EncodedAnswer { body: vec![b' '; bytes].into(), coding, has_changes: false, more: false }
+    EncodedResponse { body: vec![b' '; bytes].into(), coding, has_changes: false, has_more: false }
 }
 
 #[test]
 fn kept_answers_are_bounded_and_of_one_version() {
     let version = |revision| Version { epoch: 7, revision };
-    let mut cache = AnswerCache::default();
-    for bucket in 0..=MOST_ANSWERS {
+    let mut cache = ResponseCache::default();
+    for bucket in 0..=MAX_CACHED_RESPONSES {
         cache.insert(version(1), bucket_key(bucket), answer_of(10));
     }
-    assert_eq!(cache.size(), (MOST_ANSWERS, 10 * MOST_ANSWERS));
+    assert_eq!(cache.size(), (MAX_CACHED_RESPONSES, 10 * MAX_CACHED_RESPONSES));
     assert!(cache.get(version(1), &bucket_key(0)).is_none(), "the oldest has made room");
     assert!(cache.get(version(1), &bucket_key(1)).is_some());
     assert!(cache.get(version(2), &bucket_key(1)).is_none(), "it is of an older version");
-    cache.insert(version(2), bucket_key(0), answer_of(MOST_BYTES - 10));
-    assert_eq!(cache.size(), (1, MOST_BYTES - 10));
-    cache.insert(version(2), bucket_key(0), answer_of(MOST_BYTES - 20));
+    cache.insert(version(2), bucket_key(0), answer_of(MAX_CACHED_BYTES - 10));
+    assert_eq!(cache.size(), (1, MAX_CACHED_BYTES - 10));
+    cache.insert(version(2), bucket_key(0), answer_of(MAX_CACHED_BYTES - 20));
     assert_eq!(cache.size().0, 1, "one for each key");
     cache.insert(version(2), bucket_key(1), answer_of(30));
     assert_eq!(cache.size(), (1, 30));
-    cache.insert(version(2), bucket_key(2), answer_of(MOST_BYTES + 1));
+    cache.insert(version(2), bucket_key(2), answer_of(MAX_CACHED_BYTES + 1));
     assert_eq!(cache.size(), (1, 30), "too long to be kept");
 }
 
@@ -199,7 +206,7 @@
 fn a_kept_answer_is_shared_until_the_records_change() {
     let role = Role::Replica { servers: Vec::new(), max_hold: Duration::ZERO };
     let options = ServerOptions::new(([127, 0, 0, 1], 0).into(), role);
-    let state = State::new(options, Store::new(0, Limits::default()), None);
+    let state = ServerState::new(options, Store::new(0, Limits::default()), None);
     let update = |value| Update {
         version: Version { epoch: 7, revision: 5 },
         is_whole_state: false,
@@ -207,12 +214,15 @@
         digest: Some(Digest(0)),
         changes: vec![record("a", value, 5)],
     };
-    let key = AnswerKey { content: Content::Snapshot { after: None }, accepted: ContentCoding::Identity };
-    let body = || state.answer(key.clone()).expect("an answer").body;
-    state.replicate(&update("{\"size\":1}"));
+    let key = ResponseKey {
+        content: ResponseContent::Snapshot { after: None },
+        accepted_coding: ContentCoding::Identity,
+    };
+    let body = || state.response(key.clone()).expect("an answer").body;
+    state.apply_update(&update("{\"size\":1}"));
     let first = body();
     assert!(Rc::ptr_eq(&first, &body()), "encoded once");
-    state.replicate(&update("{\"size\":2}"));
+    state.apply_update(&update("{\"size\":2}"));
     assert!(String::from_utf8_lossy(&first).contains("\"size\":1"));
     assert!(String::from_utf8_lossy(&body()).contains("\"size\":2"), "of the same version, but repaired");
 }
--- a/crates/pondlb-control-net/src/check.rs
+++ b/crates/pondlb-control-net/src/validation.rs
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// [`CommitError::InvalidRecord`] with the last class that the commit removes.
-pub fn check_classes_left(store: &Store, changes: &[NewChange]) -> Result<(), CommitError> {
+pub fn validate_remaining_classes(store: &Store, changes: &[NewChange]) -> Result<(), CommitError> {
     let classes = || changes.iter().filter(|change| change.key.kind() == RecordKind::Class);
     let Some(removal) = classes().rfind(|change| change.value.is_none()) else { return Ok(()) };
     let mut left: HashSet<&Key> = store.keys(RecordKind::Class).collect();
--- a/crates/pondlb-server/tests/control/mod.rs
+++ b/crates/pondlb-server/tests/control/mod.rs
@@ -192,7 +192,7 @@
     assert_eq!(origin.commit(&[listed(one.address)]), "200");
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(balancer.ask("a2", "order").status(), "200");
-    balancer.ends_having_said(&["the answer is rejected: upstream/u", "the record's name is accepted"]);
+    balancer.ends_having_said(&["the response is rejected: upstream/u", "the record's name is accepted"]);
 }
 
 #[test]
@@ -241,8 +241,8 @@
     balancer.signal("TERM");
     let (status, log) = balancer.ended();
     assert!(status.success());
-    assert_eq!(log.matches("is stale: nothing is known since").count(), 1, "{log}");
-    assert_eq!(log.matches("fresh again at version 8.").count(), 1, "{log}");
+    assert_eq!(log.matches("is stale: not confirmed as current for").count(), 1, "{log}");
+    assert_eq!(log.matches("no longer stale at version 8.").count(), 1, "{log}");
     assert!(log.matches("control: ").count() < 20, "{log}");
 }
 
