--- a/crates/pondlb-control-net/src/coding.rs
+++ b/crates/pondlb-control-net/src/coding.rs
@@ -1,4 +1,4 @@
-//! Content codings of answers: gzip where the caller accepts it, and decoding within a bound.
+//! Content codings of responses: gzip compression if the client accepts it, and decoding with a length limit.
 
 #[cfg(test)]
 mod tests;
@@ -10,45 +10,46 @@
 use flate2::write::GzEncoder;
 use pondlb_http::{Head, MessageError};
 
-/// How the bytes of a body stand for its content.
+/// The content coding of a body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ContentCoding {
-    /// As they are.
+    /// Not encoded.
     #[default]
     Identity,
-    /// Compressed, as RFC 1952 describes.
+    /// Compressed with gzip (RFC 1952).
     Gzip,
 }
 
 /// Why a body can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The field that names the coding can't be read.
+    /// The `Content-Encoding` field is invalid.
     #[error("Content-Encoding: {0}")]
     InvalidHeader(MessageError),
-    /// The sender was not told that this coding is accepted.
+    /// The content coding is none that the client accepts.
     #[error("content coding {0:?} is not accepted")]
     UnknownCoding(String),
-    /// The content is longer than is taken.
+    /// The decoded content exceeds the limit, in bytes.
     #[error("the content is longer than {0} bytes")]
     TooLong(usize),
-    /// It does not end where the body ends, or its check sum is wrong.
-    #[error("the gzip stream is garbled: {0}")]
+    /// The gzip stream is malformed, does not end where the body ends, or has a wrong checksum.
+    #[error("the gzip stream is invalid: {0}")]
     InvalidGzip(#[source] io::Error),
 }
 
-/// The name of the coding in header fields.
+/// The name of the gzip coding in header fields.
 pub const GZIP: &str = "gzip";
-/// Shorter bodies are sent as they are: they fit into one packet anyway.
+/// Shorter bodies are not compressed, since they fit into one packet anyway.
 const MIN_COMPRESSED_BYTES: usize = 512;
-/// With less room than this at the end of the content, a reader makes more to see that nothing follows.
+/// Spare capacity beyond the expected content. With less, `read_to_end` grows the buffer just to detect the end of the
+/// stream.
 const END_OF_CONTENT_SPARE_BYTES: usize = 64;
-/// Level 1 takes less than half of the processor time of level 4, and bodies of records are longer by an eighth.
+/// Level 1 takes less than half of the CPU time of level 4; bodies of records become an eighth longer.
 const GZIP_LEVEL: u32 = 1;
 
 impl ContentCoding {
-    /// The coding of the answer to a request with this head. Where the caller weighs codings against each other
-    /// (`gzip;q=0.5`), its answer is not compressed.
+    /// The coding for the response to a request with this head. Quality values (`gzip;q=0.5`) are not parsed: a request
+    /// with one for gzip gets an uncompressed response.
     pub fn accepted_by(head: &Head) -> ContentCoding {
         if head.list_contains("Accept-Encoding", GZIP) {
             ContentCoding::Gzip
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The coding that a head names.
+    /// The coding of a message with this head.
     fn from_head(head: &Head) -> Result<ContentCoding, DecodeError> {
         match head.single_value("Content-Encoding").map_err(DecodeError::InvalidHeader)? {
             None => Ok(ContentCoding::Identity),
@@ -68,7 +69,8 @@
     }
 }
 
-/// Compresses a body in this coding, unless it is short or does not become shorter. The coding that it has then.
+/// Encodes a body in the accepted coding and returns it with its actual coding. Short bodies, and those that would not
+/// become shorter, are not compressed.
 pub fn encode(plain: Vec<u8>, accepted: ContentCoding) -> (Vec<u8>, ContentCoding) {
     if accepted == ContentCoding::Identity || plain.len() < MIN_COMPRESSED_BYTES {
         return (plain, ContentCoding::Identity);
@@ -79,16 +81,16 @@
     }
 }
 
-/// The content of a body that came with this head, of at most so many bytes.
+/// Decodes the body of a message with this head. The content may have at most `max_bytes`.
 ///
 /// # Errors
-/// [`DecodeError`] where the coding is unknown, or the content too long or garbled.
-pub fn decode(head: &Head, body: Vec<u8>, most_bytes: usize) -> Result<Vec<u8>, DecodeError> {
+/// [`DecodeError`] if the coding is unknown, the content is too long, or the gzip stream is invalid.
+pub fn decode(head: &Head, body: Vec<u8>, max_bytes: usize) -> Result<Vec<u8>, DecodeError> {
     let content = match ContentCoding::from_head(head)? {
         ContentCoding::Identity => body,
-        ContentCoding::Gzip => gunzip(&body, most_bytes)?,
+        ContentCoding::Gzip => gunzip(&body, max_bytes)?,
     };
-    if content.len() > most_bytes { Err(DecodeError::TooLong(most_bytes)) } else { Ok(content) }
+    if content.len() > max_bytes { Err(DecodeError::TooLong(max_bytes)) } else { Ok(content) }
 }
 
 fn gzip(plain: &[u8]) -> io::Result<Vec<u8>> {
@@ -97,24 +99,24 @@
     encoder.finish()
 }
 
-/// The length that the stream tells of its content; nobody has checked it.
+/// The content length that a gzip stream declares in its last four bytes. It is not verified.
 fn declared_length(compressed: &[u8]) -> usize {
-    let told = compressed.last_chunk().map_or(0, |length| u32::from_le_bytes(*length));
-    usize::try_from(told).unwrap_or(usize::MAX)
+    let length = compressed.last_chunk().map_or(0, |bytes| u32::from_le_bytes(*bytes));
+    usize::try_from(length).unwrap_or(usize::MAX)
 }
 
-/// Decodes at most one byte more than is taken, whatever the stream would become.
-fn gunzip(compressed: &[u8], most_bytes: usize) -> Result<Vec<u8>, DecodeError> {
+/// Decompresses a gzip stream. At most one byte more than `max_bytes` is decompressed, however long the content is.
+fn gunzip(compressed: &[u8], max_bytes: usize) -> Result<Vec<u8>, DecodeError> {
     let mut decoder = GzDecoder::new(compressed);
     let mut content =
-        Vec::with_capacity(declared_length(compressed).min(most_bytes) + END_OF_CONTENT_SPARE_BYTES);
-    let most_read = u64::try_from(most_bytes).unwrap_or(u64::MAX).saturating_add(1);
-    decoder.by_ref().take(most_read).read_to_end(&mut content).map_err(DecodeError::InvalidGzip)?;
-    if content.len() > most_bytes {
-        return Err(DecodeError::TooLong(most_bytes));
+        Vec::with_capacity(declared_length(compressed).min(max_bytes) + END_OF_CONTENT_SPARE_BYTES);
+    let read_limit = u64::try_from(max_bytes).unwrap_or(u64::MAX).saturating_add(1);
+    decoder.by_ref().take(read_limit).read_to_end(&mut content).map_err(DecodeError::InvalidGzip)?;
+    if content.len() > max_bytes {
+        return Err(DecodeError::TooLong(max_bytes));
     }
     if !decoder.get_ref().is_empty() {
-        let trailing = io::Error::new(io::ErrorKind::InvalidData, "bytes follow on its end");
+        let trailing = io::Error::new(io::ErrorKind::InvalidData, "trailing bytes after the end");
         return Err(DecodeError::InvalidGzip(trailing));
     }
     Ok(content)
--- a/crates/pondlb-control-net/src/http.rs
+++ b/crates/pondlb-control-net/src/http.rs
@@ -1,4 +1,4 @@
-//! Responses of a control server, and requests to one, as bytes.
+//! Encoding of the HTTP messages of the control protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::coding::{ContentCoding, GZIP};
 
-/// Names the statuses that a control server answers with.
+/// The status codes of a control server's responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusCode {
     Ok,
@@ -21,6 +21,7 @@
 }
 
 impl StatusCode {
+    /// The status code and the reason phrase, as in the status line.
     fn code_and_reason(self) -> &'static str {
         match self {
             StatusCode::Ok => "200 OK",
@@ -34,22 +35,25 @@
     }
 }
 
-/// A whole response.
+/// A response of a control server.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
     pub body: Rc<[u8]>,
-    /// The coding that the body has.
+    /// The content coding of the body.
     pub coding: ContentCoding,
-    /// The connection ends with it.
+    /// Whether the server closes the connection after the response.
     pub closes_connection: bool,
 }
 
-/// After how many seconds a caller that is turned away may come again.
+/// The `Retry-After` time of responses with status 503.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
+/// The capacity that is allocated for the head of a response.
+const EXPECTED_HEAD_BYTES: usize = 192;
+
 impl Response {
-    /// A response of JSON.
+    /// A response with a value as uncompressed JSON.
     pub fn json(value: &impl Serialize) -> Response {
         match serde_json::to_vec(value) {
             Ok(body) => Response::json_bytes(body.into(), ContentCoding::Identity),
@@ -59,39 +63,39 @@
         }
     }
 
-    /// A response whose body is JSON in this coding.
+    /// A response with JSON that is already encoded in this coding.
     pub fn json_bytes(body: Rc<[u8]>, coding: ContentCoding) -> Response {
         Response { status: StatusCode::Ok, body, coding, closes_connection: false }
     }
 
-    /// A response that says why a request is not answered.
+    /// An error response with a reason as plain text.
     pub fn text(status: StatusCode, reason: &str) -> Response {
         let body = format!("{reason}\n").into_bytes().into();
         Response { status, body, coding: ContentCoding::Identity, closes_connection: false }
     }
 
-    /// The response to what is no request. The connection ends: nobody knows where the next request begins.
-    pub fn for_message_error(fault: MessageError) -> Response {
-        let status = match fault {
+    /// The response to a malformed request. It closes the connection, because the start of the next request is unknown.
+    pub fn for_message_error(error: MessageError) -> Response {
+        let status = match error {
             MessageError::Malformed(_) => StatusCode::BadRequest,
             MessageError::HeadTooLong => StatusCode::HeadTooLarge,
             MessageError::BodyTooLong => StatusCode::ContentTooLarge,
             MessageError::MethodNotAllowed => StatusCode::MethodNotAllowed,
         };
-        Response::text(status, &fault.to_string()).closing_connection()
+        Response::text(status, &error.to_string()).closing_connection()
     }
 
-    /// The same, as the last on its connection.
+    /// The same response, but as the last one of its connection.
     pub fn closing_connection(mut self) -> Response {
         self.closes_connection = true;
         self
     }
 
-    /// The bytes on the wire.
+    /// Encodes the response as it is sent.
     pub fn encode(&self) -> Vec<u8> {
         let content_type = if self.status == StatusCode::Ok { "application/json" } else { "text/plain" };
         let length = self.body.len();
-        let mut bytes = Vec::with_capacity(192 + length);
+        let mut bytes = Vec::with_capacity(EXPECTED_HEAD_BYTES + length);
         bytes.extend_from_slice(format!("HTTP/1.1 {}\r\n", self.status.code_and_reason()).as_bytes());
         bytes.extend_from_slice(
             format!("Content-Type: {content_type}\r\nContent-Length: {length}\r\n").as_bytes(),
@@ -111,7 +115,7 @@
     }
 }
 
-/// A request without a body, whose answer may be compressed.
+/// Encodes a GET request that accepts a gzip-compressed response.
 pub fn encode_get_request(server: SocketAddr, target: &str) -> Vec<u8> {
     format!("GET {target} HTTP/1.1\r\nHost: {server}\r\nAccept-Encoding: {GZIP}\r\n\r\n").into_bytes()
 }
--- a/crates/pondlb-control-net/src/lib.rs
+++ b/crates/pondlb-control-net/src/lib.rs
@@ -1,8 +1,10 @@
-//! The control protocol on sockets: what follows control servers, and the control server itself.
+//! The control protocol over TCP: the client that follows control servers, and the control server itself.
 //!
 //! [`follow`] keeps a replica up to date from a list of control servers and delivers each verified update to its
-//! consumer. [`Server`] is the origin, or a replica server that follows the origin by the same driver and serves the
-//! same calls. One thread, one task for each connection, no locks. docs/control.md describes the protocol.
+//! consumer. [`Server`] is the origin of the records, or a replica server, which follows other control servers with
+//! [`follow`] and serves the same requests. A server runs in one thread with one task per connection and without locks.
+//!
+//! docs/control.md describes the protocol.
 
 mod client;
 mod coding;
--- a/crates/pondlb-control-net/src/options.rs
+++ b/crates/pondlb-control-net/src/options.rs
@@ -1,4 +1,4 @@
-//! The options file of a control server: read, checked and given its defaults.
+//! The options file of a control server: parsing, validation and defaults.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,71 +11,72 @@
 
 use crate::validation::{ValidateRecord, validate_json_shape, validate_record};
 
-/// What a control server is in its group.
+/// The role of a control server.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// It numbers the changes.
+    /// The origin accepts commits and assigns revisions to their changes.
     Origin {
-        /// Where changes are committed; none where the initial records are never changed.
+        /// The address for commits; `None` if the initial records never change.
         commit_address: Option<SocketAddr>,
-        /// The records to begin with.
+        /// The records at the start.
         initial_records: Vec<NewChange>,
-        /// The epoch of its numbers; greater than that of any origin before it.
+        /// The epoch of its versions, greater than that of any earlier origin.
         epoch: u64,
     },
-    /// It follows another control server and serves what that one has.
+    /// A replica server follows another control server and serves its records.
     Replica {
-        /// The servers to follow, the preferred one first where `number` is 0.
+        /// The servers to follow. The replica server with number 0 prefers the first one.
         servers: Vec<SocketAddr>,
-        /// How long they may wait for news.
+        /// For how long they may hold a request while there are no new changes.
         max_hold: Duration,
     },
 }
 
-/// All that a control server is told, checked.
+/// The validated options of a control server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// Name in the log and towards the servers that it follows.
+    /// The name in the log and in requests to the servers that it follows.
     pub name: String,
-    /// Its number among the replica servers, so that each begins with another of the servers that it follows.
+    /// The number of a replica server. Replica servers with consecutive numbers are divided evenly among the servers that
+    /// they follow.
     pub follower_number: u64,
-    /// Address for followers.
+    /// The address for followers.
     pub listen_address: SocketAddr,
-    /// Origin or replica.
+    /// Whether it is the origin or a replica server.
     pub role: Role,
-    /// Least time between two answers with news to one follower.
+    /// The minimum time between two responses with changes on one connection.
     pub min_update_interval: Duration,
-    /// Most bytes of changes in one answer.
+    /// The maximum length of the changes in one response.
     pub max_changes_bytes: usize,
-    /// Most connections of followers.
+    /// The maximum number of connections of followers.
     pub max_follower_connections: usize,
-    /// What the process may use.
+    /// The memory that the process may use, in MiB.
     pub memory_limit_mib: usize,
-    /// How many pieces of snapshots it gives in a second.
+    /// The maximum rate of snapshot pages.
     pub snapshot_pages_per_second: f64,
-    /// What an origin checks before it commits. A replica server takes what is in shape, as it may be older than the
-    /// balancers that it serves.
+    /// How an origin validates records before it commits them. A replica server checks only their JSON types, because it
+    /// may be of an older version than the balancers that it serves.
     pub validate: ValidateRecord,
 }
 
-/// What is wrong with one key of an options file.
+/// An error in an options file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionsError {
-    /// The file.
+    /// The options file.
     pub file: PathBuf,
-    /// The key; none where the file as a whole is meant.
+    /// The key with the error; `None` if it concerns the whole file.
     pub key: Option<&'static str>,
-    /// What is wrong, and what is accepted.
+    /// What is wrong, or what is accepted instead.
     pub reason: String,
 }
 
 impl fmt::Display for OptionsError {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}: ", self.file.display())?;
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{}: ", self.file.display())?;
         if let Some(key) = self.key {
-            write!(to, "{key}: ")?;
+            write!(formatter, "{key}: ")?;
         }
-        to.write_str(&self.reason)
+        formatter.write_str(&self.reason)
     }
 }
 
@@ -99,20 +100,20 @@
 const DEFAULT_MAX_HOLD_MS: u64 = 1000;
 const DEFAULT_MIN_UPDATE_INTERVAL_MS: u64 = 200;
 const DEFAULT_MAX_CHANGES_BYTES: usize = 16 * 1024;
-/// The longest piece of changes that a server may be told to give; pieces of snapshots are shorter.
+/// The largest valid `piece_bytes`. Followers accept responses of this length; snapshot pages are shorter.
 pub const CHANGES_BYTES_LIMIT: usize = 1 << 20;
 const DEFAULT_MAX_FOLLOWER_CONNECTIONS: usize = 2000;
 const DEFAULT_MEMORY_LIMIT_MIB: usize = 256;
-/// 64 MB a second where each piece is full.
+/// 64 MB per second if all pages are full.
 const DEFAULT_SNAPSHOT_PAGES_PER_SECOND: f64 = 1000.0;
 
 impl ServerOptions {
-    /// Options with their defaults, for an origin or a replica server on this address.
-    pub fn new(listen: SocketAddr, role: Role) -> ServerOptions {
+    /// The default options of a server with this role at this address.
+    pub fn new(listen_address: SocketAddr, role: Role) -> ServerOptions {
         ServerOptions {
-            name: default_name(listen),
+            name: default_name(listen_address),
             follower_number: 0,
-            listen_address: listen,
+            listen_address,
             role,
             min_update_interval: Duration::from_millis(DEFAULT_MIN_UPDATE_INTERVAL_MS),
             max_changes_bytes: DEFAULT_MAX_CHANGES_BYTES,
@@ -123,43 +124,44 @@
         }
     }
 
-    /// Reads an options file.
+    /// Reads and validates an options file.
     ///
     /// # Errors
-    /// Everything that is wrong with it at once, so that nobody mends one fault only to meet the next.
+    /// All errors of the file at once, so that they can be corrected in one pass.
     pub fn from_file(file: &Path) -> Result<ServerOptions, Vec<OptionsError>> {
-        let whole = |reason| vec![OptionsError { file: file.to_path_buf(), key: None, reason }];
-        let text = std::fs::read_to_string(file).map_err(|error| whole(error.to_string()))?;
-        let table: Table = text.parse().map_err(|error: toml::de::Error| whole(error.to_string()))?;
-        let mut fields = OptionsReader { file, table, errors: Vec::new() };
-        let options = fields.read_options();
+        let file_error = |reason| vec![OptionsError { file: file.to_path_buf(), key: None, reason }];
+        let text = std::fs::read_to_string(file).map_err(|error| file_error(error.to_string()))?;
+        let table: Table = text.parse().map_err(|error: toml::de::Error| file_error(error.to_string()))?;
+        let mut reader = OptionsReader { file, table, errors: Vec::new() };
+        let options = reader.read_options();
         match options {
-            Some(options) if fields.errors.is_empty() => Ok(options),
-            _ => Err(fields.errors),
+            Some(options) if reader.errors.is_empty() => Ok(options),
+            _ => Err(reader.errors),
         }
     }
 
-    /// What the store may hold: half of the memory, since a whole state that is taken stands beside the one before.
+    /// The limits of the store. It gets half of the memory, since a new complete state is held besides the active one
+    /// until it replaces it.
     pub fn store_limits(&self) -> Limits {
         Limits { max_total_bytes: (self.memory_limit_mib << 20) / 2, ..Limits::default() }
     }
 
-    /// The longest body of a commit.
+    /// The maximum length of the body of a commit.
     pub fn max_commit_bytes(&self) -> usize {
         (self.memory_limit_mib << 20) / 8
     }
 
-    /// The store that the server begins with.
+    /// The store at the start of the server.
     ///
     /// # Errors
-    /// [`CommitError`] where the initial records are refused.
+    /// [`CommitError`] if the initial records are rejected.
     pub fn initial_store(&self) -> Result<Store, CommitError> {
         match &self.role {
             Role::Replica { .. } => Ok(Store::new(0, self.store_limits())),
-            Role::Origin { initial_records: initial, epoch, .. } => {
+            Role::Origin { initial_records, epoch, .. } => {
                 let mut store = Store::new(*epoch, self.store_limits());
-                if !initial.is_empty() {
-                    store.commit(initial, &self.validate)?;
+                if !initial_records.is_empty() {
+                    store.commit(initial_records, &self.validate)?;
                 }
                 Ok(store)
             }
@@ -167,7 +169,7 @@
     }
 }
 
-/// The table of an options file while it is read.
+/// Reads the values of an options file and collects all errors.
 struct OptionsReader<'a> {
     file: &'a Path,
     table: Table,
@@ -175,12 +177,12 @@
 }
 
 impl OptionsReader<'_> {
-    /// Notes every fault on its way; none where a required key is missing or faulty.
+    /// Reads all options. Returns `None` if a required key is missing or invalid; other errors are only collected.
     fn read_options(&mut self) -> Option<ServerOptions> {
         self.report_unknown_keys();
-        let listen = self.required_value::<SocketAddr>("listen");
+        let listen_address = self.required_value::<SocketAddr>("listen");
         let role = self.read_role();
-        let name = self.value_or("name", listen.map_or("control".into(), default_name));
+        let name = self.value_or("name", listen_address.map_or("control".into(), default_name));
         if !is_valid_caller_name(&name) {
             self.report(
                 "name",
@@ -189,24 +191,25 @@
                 ),
             );
         }
-        let number = self.value_or("number", 0);
+        let follower_number = self.value_or("number", 0);
         let gather_ms = self.value_in_range("gather_ms", DEFAULT_MIN_UPDATE_INTERVAL_MS, 0, 10_000);
-        let piece_bytes =
+        let max_changes_bytes =
             self.value_in_range("piece_bytes", DEFAULT_MAX_CHANGES_BYTES, 1024, CHANGES_BYTES_LIMIT);
-        let followers = self.value_in_range("followers", DEFAULT_MAX_FOLLOWER_CONNECTIONS, 1, 100_000);
-        let memory_mb = self.value_in_range("memory_mb", DEFAULT_MEMORY_LIMIT_MIB, 16, 1 << 20);
-        let pieces =
+        let max_follower_connections =
+            self.value_in_range("followers", DEFAULT_MAX_FOLLOWER_CONNECTIONS, 1, 100_000);
+        let memory_limit_mib = self.value_in_range("memory_mb", DEFAULT_MEMORY_LIMIT_MIB, 16, 1 << 20);
+        let snapshot_pages_per_second =
             self.value_in_range("snapshot_pieces_per_second", DEFAULT_SNAPSHOT_PAGES_PER_SECOND, 1.0, 1e6);
         let options = ServerOptions {
             name,
-            follower_number: number,
+            follower_number,
             min_update_interval: Duration::from_millis(gather_ms),
-            max_changes_bytes: piece_bytes,
-            max_follower_connections: followers,
-            memory_limit_mib: memory_mb,
-            snapshot_pages_per_second: pieces,
+            max_changes_bytes,
+            max_follower_connections,
+            memory_limit_mib,
+            snapshot_pages_per_second,
             validate: validate_record,
-            ..ServerOptions::new(listen?, role?)
+            ..ServerOptions::new(listen_address?, role?)
         };
         if let Err(error) = options.initial_store() {
             self.report("initial", error.to_string());
@@ -214,44 +217,46 @@
         Some(options)
     }
 
+    /// Reads the keys that depend on the role. A server with the key `follow` is a replica server.
     fn read_role(&mut self) -> Option<Role> {
-        let follow = self.optional_value::<Vec<SocketAddr>>("follow");
-        let commit = self.optional_value::<SocketAddr>("commit");
-        let initial = self.optional_value::<PathBuf>("initial");
+        let servers = self.optional_value::<Vec<SocketAddr>>("follow");
+        let commit_address = self.optional_value::<SocketAddr>("commit");
+        let initial_path = self.optional_value::<PathBuf>("initial");
         let epoch = self.optional_value::<u64>("epoch");
         let hold_ms = self.value_in_range("hold_ms", DEFAULT_MAX_HOLD_MS, 10, 60_000);
         if !self.table.contains_key("follow") {
             if !self.table.contains_key("commit") && !self.table.contains_key("initial") {
-                self.report("follow", "follow, or commit or initial, is required".into());
+                self.report("follow", "either follow, or commit or initial is required".into());
                 return None;
             }
             if epoch == Some(0) {
                 self.report("epoch", "0: 1 or more is accepted".into());
             }
-            let initial = initial.map_or(Some(Vec::new()), |initial| self.read_initial_records(&initial))?;
+            let initial_records =
+                initial_path.map_or(Some(Vec::new()), |path| self.read_initial_records(&path))?;
             return Some(Role::Origin {
-                commit_address: commit,
-                initial_records: initial,
+                commit_address,
+                initial_records,
                 epoch: epoch.unwrap_or_else(current_time_epoch),
             });
         }
         for key in ["commit", "initial", "epoch"] {
             if self.table.contains_key(key) {
-                self.report(key, "is accepted of an origin only, not beside follow".into());
+                self.report(key, "is accepted only for an origin, not together with follow".into());
             }
         }
-        let follow = follow?;
-        if follow.is_empty() {
+        let servers = servers?;
+        if servers.is_empty() {
             self.report("follow", "one address or more is accepted".into());
         }
-        Some(Role::Replica { servers: follow, max_hold: Duration::from_millis(hold_ms) })
+        Some(Role::Replica { servers, max_hold: Duration::from_millis(hold_ms) })
     }
 
-    /// The initial records; the path is relative to the options file.
+    /// Reads the file with the initial records. Its path is relative to the options file.
     fn read_initial_records(&mut self, path: &Path) -> Option<Vec<NewChange>> {
         let path = self.file.parent().unwrap_or(Path::new("")).join(path);
-        let read = std::fs::read(&path).map_err(|error| error.to_string());
-        let commit = read.and_then(|bytes| {
+        let bytes = std::fs::read(&path).map_err(|error| error.to_string());
+        let commit = bytes.and_then(|bytes| {
             serde_json::from_slice::<CommitRequest>(&bytes).map_err(|error| error.to_string())
         });
         match commit {
@@ -263,6 +268,7 @@
         }
     }
 
+    /// Reports all keys that are not in [`KEYS`].
     fn report_unknown_keys(&mut self) {
         let unknown: Vec<String> =
             self.table.keys().filter(|key| !KEYS.contains(&key.as_str())).cloned().collect();
@@ -272,10 +278,12 @@
         }
     }
 
+    /// Adds an error for a key.
     fn report(&mut self, key: &'static str, reason: String) {
         self.errors.push(OptionsError { file: self.file.to_path_buf(), key: Some(key), reason });
     }
 
+    /// The value of a key; `None` if the key is missing, or if the value is invalid, which is reported.
     fn optional_value<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
         let value: Value = self.table.get(key)?.clone();
         match value.try_into() {
@@ -287,6 +295,7 @@
         }
     }
 
+    /// Like [`Self::optional_value`], but also reports a missing key.
     fn required_value<T: DeserializeOwned>(&mut self, key: &'static str) -> Option<T> {
         if !self.table.contains_key(key) {
             self.report(key, "is required".into());
@@ -294,37 +303,39 @@
         self.optional_value(key)
     }
 
+    /// The value of a key, or the default if the key is missing or invalid.
     fn value_or<T: DeserializeOwned>(&mut self, key: &'static str, default: T) -> T {
         self.optional_value(key).unwrap_or(default)
     }
 
-    fn value_in_range<T>(&mut self, key: &'static str, default: T, least: T, most: T) -> T
+    /// Like [`Self::value_or`], but also reports a value that is not from `min` to `max`.
+    fn value_in_range<T>(&mut self, key: &'static str, default: T, min: T, max: T) -> T
     where
         T: DeserializeOwned + PartialOrd + fmt::Display + Copy,
     {
         let value = self.value_or(key, default);
-        if !(least..=most).contains(&value) {
-            self.report(key, format!("{value}: {least} to {most} is accepted"));
+        if !(min..=max).contains(&value) {
+            self.report(key, format!("{value}: {min} to {max} is accepted"));
         }
         value
     }
 }
 
-/// Control servers of one machine differ in their ports.
-fn default_name(listen: SocketAddr) -> String {
-    format!("control-{}", listen.port())
+/// The default name of a server. It contains the port, in which control servers of one machine differ.
+fn default_name(listen_address: SocketAddr) -> String {
+    format!("control-{}", listen_address.port())
 }
 
-/// The longest name of a caller.
+/// The maximum length of the name of a follower.
 pub const MAX_CALLER_NAME_BYTES: usize = 64;
 
-/// Whether a follower may call itself so.
+/// Whether this is a valid name of a follower.
 pub fn is_valid_caller_name(name: &str) -> bool {
     let is_accepted = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     (1..=MAX_CALLER_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_accepted)
 }
 
-/// An origin that is started later has a greater epoch.
+/// An epoch for an origin that starts now: the time in milliseconds, which is greater for each later start.
 fn current_time_epoch() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX).max(1)
--- a/crates/pondlb-control-net/src/server/commit.rs
+++ b/crates/pondlb-control-net/src/server/commit.rs
@@ -1,4 +1,4 @@
-//! The address of the origin at which changes are committed.
+//! Requests at the commit address of the origin.
 
 use pondlb_control::{CommitRequest, CommitResponse};
 use pondlb_http::Message;
@@ -9,7 +9,7 @@
 
 const COMMIT_PATH: &str = "/control/commit";
 
-/// Answers a request at the commit address: takes all of its changes or none.
+/// Handles a request at the commit address. All of its changes are committed, or none.
 pub fn handle_request(state: &ServerState, message: &Message) -> Response {
     match method_and_target(&message.head) {
         Ok(("POST", COMMIT_PATH)) => commit(state, &message.body),
--- a/crates/pondlb-control-net/src/server/connection.rs
+++ b/crates/pondlb-control-net/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a control server: requests in, responses out, each within its time.
+//! One connection to a control server. Reading a request and writing a response have timeouts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,47 +15,53 @@
 use crate::coding::ContentCoding;
 use crate::http::{Response, StatusCode};
 
-/// A request must be whole so long after the answer before it.
+/// The maximum time from the previous response, or from the accept, to the end of a request.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// An answer must be taken within this, or slow readers pin memory.
+/// The maximum time to write a response. It bounds how long a slow reader occupies the memory of its response.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The calls of followers have no body.
+/// Requests of followers have no body.
 const MAX_FOLLOWER_REQUEST_BODY_BYTES: usize = 0;
-/// How long a connection that is turned away is read on: a close over unread bytes would reset it and take the
-/// answer with it.
+/// How long a refused connection is read before it is closed. A close with unread bytes would reset the connection,
+/// and the client might lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The connection and what has come on it.
+/// A connection with its unprocessed input.
 struct Connection {
     stream: TcpStream,
     reader: MessageReader,
 }
 
+/// The next event on the input of a connection.
 enum Incoming {
     Request(Message),
     Malformed(MessageError),
+    /// The peer has closed the connection, or the request has timed out.
     Closed,
 }
 
-/// Serves a follower until its connection ends.
+/// Serves the requests of a follower until the connection is closed.
 pub async fn serve_follower(state: Rc<ServerState>, stream: TcpStream) {
     let mut connection = Connection::new(stream, MAX_FOLLOWER_REQUEST_BODY_BYTES);
-    let mut pace = UpdatePacing::default();
+    let mut pacing = UpdatePacing::default();
     loop {
         let response = match connection.read_request().await {
             Incoming::Closed => return,
-            Incoming::Malformed(fault) => Response::for_message_error(fault),
+            Incoming::Malformed(error) => Response::for_message_error(error),
             Incoming::Request(message) => {
-                let accepted = ContentCoding::accepted_by(&message.head);
-                let answered = match Request::parse(&message.head) {
+                let accepted_coding = ContentCoding::accepted_by(&message.head);
+                let response = match Request::parse(&message.head) {
                     Err(error) => Some(error.response()),
-                    Ok(request) => tokio::select! {
-                        biased;
-                        () = connection.closed_by_peer() => None,
-                        response = follower_requests::handle_request(&state, request, accepted, &mut pace) => Some(response),
-                    },
+                    Ok(request) => {
+                        let handled =
+                            follower_requests::handle_request(&state, request, accepted_coding, &mut pacing);
+                        tokio::select! {
+                            biased;
+                            () = connection.closed_by_peer() => None,
+                            response = handled => Some(response),
+                        }
+                    }
                 };
-                let Some(response) = answered else { return };
+                let Some(response) = response else { return };
                 close_if_requested(response, &message.head)
             }
         };
@@ -65,13 +71,13 @@
     }
 }
 
-/// Serves one who commits changes, until the connection ends.
+/// Serves requests at the commit address until the connection is closed.
 pub async fn serve_commit_client(state: Rc<ServerState>, stream: TcpStream) {
     let mut connection = Connection::new(stream, state.options().max_commit_bytes());
     loop {
         let response = match connection.read_request().await {
             Incoming::Closed => return,
-            Incoming::Malformed(fault) => Response::for_message_error(fault),
+            Incoming::Malformed(error) => Response::for_message_error(error),
             Incoming::Request(message) => {
                 close_if_requested(commit::handle_request(&state, &message), &message.head)
             }
@@ -82,35 +88,38 @@
     }
 }
 
-/// Turns one away for whom there is no place.
+/// Refuses a connection beyond the maximum number with an error response.
 pub async fn refuse_connection(stream: TcpStream) {
     let response = Response::text(StatusCode::Unavailable, "too many connections").closing_connection();
     let mut connection = Connection::new(stream, MAX_FOLLOWER_REQUEST_BODY_BYTES);
     connection.write_response(&response).await;
     if connection.stream.shutdown().await.is_ok() {
         let mut unread = [0; 1024];
-        let drained = async { while matches!(connection.stream.read(&mut unread).await, Ok(1..)) {} };
-        let _late = timeout(LINGER_TIMEOUT, drained).await;
+        let read_to_end = async { while matches!(connection.stream.read(&mut unread).await, Ok(1..)) {} };
+        let _timed_out = timeout(LINGER_TIMEOUT, read_to_end).await;
     }
 }
 
+/// Marks a response as the last of its connection if the request asks for that.
 fn close_if_requested(response: Response, head: &Head) -> Response {
     if head.list_contains("Connection", "close") { response.closing_connection() } else { response }
 }
 
 impl Connection {
-    fn new(stream: TcpStream, most_body: usize) -> Connection {
-        let _unset = stream.set_nodelay(true);
-        Connection { stream, reader: MessageReader::with_max_body(request_framing, most_body) }
+    fn new(stream: TcpStream, max_body_bytes: usize) -> Connection {
+        // Without TCP_NODELAY responses are only slower.
+        let _ignored = stream.set_nodelay(true);
+        Connection { stream, reader: MessageReader::with_max_body(request_framing, max_body_bytes) }
     }
 
+    /// Reads until the next request is complete.
     async fn read_request(&mut self) -> Incoming {
         let incoming = async {
             loop {
                 match self.reader.next_message() {
                     Ok(Some(message)) => return Incoming::Request(message),
                     Ok(None) => {}
-                    Err(fault) => return Incoming::Malformed(fault),
+                    Err(error) => return Incoming::Malformed(error),
                 }
                 match self.stream.read(self.reader.spare_capacity_mut()).await {
                     Ok(count @ 1..) => self.reader.mark_filled(count),
@@ -121,17 +130,18 @@
         timeout(REQUEST_READ_TIMEOUT, incoming).await.unwrap_or(Incoming::Closed)
     }
 
-    /// Returns when the other side ends the connection, or sends more ahead than is kept.
+    /// Returns when the peer closes the connection, or when it pipelines more bytes than are buffered. Bytes that arrive
+    /// before are kept for the next request.
     async fn closed_by_peer(&mut self) {
         while let Ok(count @ 1..) = self.stream.read(self.reader.spare_capacity_mut()).await {
             self.reader.mark_filled(count);
         }
     }
 
-    /// False where the connection ends with the answer.
+    /// Writes a response and returns whether the connection can be used for another request.
     async fn write_response(&mut self, response: &Response) -> bool {
         let bytes = response.encode();
-        let written = timeout(RESPONSE_WRITE_TIMEOUT, self.stream.write_all(&bytes)).await;
-        matches!(written, Ok(Ok(()))) && !response.closes_connection
+        let result = timeout(RESPONSE_WRITE_TIMEOUT, self.stream.write_all(&bytes)).await;
+        matches!(result, Ok(Ok(()))) && !response.closes_connection
     }
 }
--- a/crates/pondlb-control-net/src/server/followers.rs
+++ b/crates/pondlb-control-net/src/server/followers.rs
@@ -1,4 +1,4 @@
-//! Who follows this server.
+//! The table of the followers that use this server.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,90 +9,101 @@
 
 use super::request::Caller;
 
-/// A follower that has not called for so long is forgotten.
+/// A follower is removed from the table when its last request is this old.
 const FOLLOWER_EXPIRY: Duration = Duration::from_secs(60);
 
-/// The answer to `GET /control/followers`.
+/// The response to `GET /control/followers`.
 #[derive(Debug, Serialize)]
 pub struct FollowersResponse {
     /// The server's own version.
     pub version: Version,
-    /// Those that called lately, in the order of their names.
+    /// The followers with a recent request, sorted by name.
     pub followers: Vec<FollowerState>,
 }
 
-/// One follower in the answer.
+/// One follower in the response.
 #[derive(Debug, Serialize)]
 pub struct FollowerState {
-    /// As it calls itself.
+    /// The name in its requests.
     pub name: String,
-    /// What it has in force, as its last call told.
+    /// Its active version, as reported by its last request.
     pub version: Version,
-    /// The digest that it sent was right, and all records are in force.
+    /// Whether it had the server's version and digest when it sent the request, and has applied all records.
     pub in_sync: bool,
-    /// How many records it could not put in force: its settings as a whole do not allow them.
+    /// The number of records that it could not apply, because its settings as a whole don't allow them.
+    #[serde(rename = "refused")]
     pub unapplied_records: u64,
-    /// How long ago its last call came.
-    pub seen_ms: u64,
+    /// The time since its last request, in milliseconds.
+    #[serde(rename = "seen_ms")]
+    pub last_request_age_ms: u64,
 }
 
-/// The followers that called lately, a bounded number of them.
+/// A bounded table of the followers with a recent request.
 #[derive(Debug)]
 pub struct FollowerTable {
     capacity: usize,
     entries: BTreeMap<String, FollowerEntry>,
 }
 
+/// What the last request of a follower reported.
 #[derive(Debug)]
 struct FollowerEntry {
     version: Version,
+    /// Whether the version and the digest were those of the server.
     has_current_records: bool,
-    refused: u64,
+    unapplied_records: u64,
     last_request_at: Instant,
 }
 
 impl FollowerTable {
-    /// An empty table for so many followers.
-    pub fn new(most: usize) -> FollowerTable {
-        FollowerTable { capacity: most, entries: BTreeMap::new() }
+    /// An empty table for at most `capacity` followers.
+    pub fn new(capacity: usize) -> FollowerTable {
+        FollowerTable { capacity, entries: BTreeMap::new() }
     }
 
-    /// A call of a follower has come. A new one is not noted where the table is full of others.
+    /// Records a request of a follower. A new follower is ignored while the table is full.
     pub fn record_request(
         &mut self,
-        Caller { name, unapplied_records: refused }: &Caller,
+        Caller { name, unapplied_records }: &Caller,
         version: Version,
-        has_all: bool,
+        has_current_records: bool,
         now: Instant,
     ) {
-        let row =
-            FollowerEntry { version, has_current_records: has_all, refused: *refused, last_request_at: now };
+        let entry = FollowerEntry {
+            version,
+            has_current_records,
+            unapplied_records: *unapplied_records,
+            last_request_at: now,
+        };
         if let Some(known) = self.entries.get_mut(name.as_str()) {
-            *known = row;
+            *known = entry;
             return;
         }
         if self.entries.len() >= self.capacity {
             self.remove_expired(now);
         }
         if self.entries.len() < self.capacity {
-            self.entries.insert(name.clone(), row);
+            self.entries.insert(name.clone(), entry);
         }
     }
 
-    /// All that have called lately.
+    /// All followers with a recent request.
     pub fn list(&mut self, now: Instant) -> Vec<FollowerState> {
         self.remove_expired(now);
-        let follower = |(name, row): (&String, &FollowerEntry)| FollowerState {
-            name: name.clone(),
-            version: row.version,
-            in_sync: row.has_current_records && row.refused == 0,
-            unapplied_records: row.refused,
-            seen_ms: u64::try_from(now.duration_since(row.last_request_at).as_millis()).unwrap_or(u64::MAX),
+        let state = |(name, entry): (&String, &FollowerEntry)| {
+            let last_request_age = now.duration_since(entry.last_request_at);
+            FollowerState {
+                name: name.clone(),
+                version: entry.version,
+                in_sync: entry.has_current_records && entry.unapplied_records == 0,
+                unapplied_records: entry.unapplied_records,
+                last_request_age_ms: u64::try_from(last_request_age.as_millis()).unwrap_or(u64::MAX),
+            }
         };
-        self.entries.iter().map(follower).collect()
+        self.entries.iter().map(state).collect()
     }
 
     fn remove_expired(&mut self, now: Instant) {
-        self.entries.retain(|_, row| now.duration_since(row.last_request_at) < FOLLOWER_EXPIRY);
+        self.entries.retain(|_, entry| now.duration_since(entry.last_request_at) < FOLLOWER_EXPIRY);
     }
 }
--- a/crates/pondlb-control-net/src/server/mod.rs
+++ b/crates/pondlb-control-net/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A control server: the origin, or a replica server that follows it.
+//! The control server: the origin of the records, or a replica server that follows it.
 
 mod commit;
 mod connection;
@@ -28,92 +28,96 @@
 use connection::{refuse_connection, serve_commit_client, serve_follower};
 use state::ServerState;
 
-/// Connections that wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long to wait when no connection can be accepted, against spinning while descriptors are short.
+/// The delay after a failed accept, so that the loop does not spin while there are no free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Connections of those who commit: each may hold the longest body.
+/// The maximum number of connections at the commit address. Each may buffer a request of the maximum size.
 const MAX_COMMIT_CONNECTIONS: usize = 4;
-/// How many may be told at once that there is no place for them; others are closed without a word.
+/// The maximum number of surplus connections that are sent an error response at the same time. Others are closed
+/// without a response.
 const MAX_REFUSAL_TASKS: usize = 16;
 
-/// A control server that listens.
+/// A control server whose sockets are bound.
 pub struct Server {
     state: Rc<ServerState>,
+    /// How a replica server follows other servers; `None` at the origin.
     follower: Option<(FollowerConfig, Rc<client::FollowerStatus>)>,
     follower_listener: TcpListener,
     commit_listener: Option<TcpListener>,
 }
 
-/// Listens and serves without end.
+/// Binds the sockets and serves. Returns only on an error.
 ///
 /// # Errors
-/// Where it can't listen, or the initial records are refused.
+/// If a socket can't be bound, or the initial records are rejected.
 pub async fn serve(options: ServerOptions) -> io::Result<()> {
     Server::bind(options)?.run().await;
     Ok(())
 }
 
 impl Server {
-    /// Listens; connections are served by [`Server::run`].
+    /// Binds the sockets. Connections are accepted by [`Server::run`].
     ///
     /// # Errors
-    /// Where it can't listen, or the initial records are refused.
+    /// If a socket can't be bound, or the initial records are rejected.
     pub fn bind(options: ServerOptions) -> io::Result<Server> {
         let store = options
             .initial_store()
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
-        let listener = bind_listener("listen", options.listen_address)?;
-        let committers = match &options.role {
+        let follower_listener = bind_listener("listen", options.listen_address)?;
+        let commit_listener = match &options.role {
             Role::Origin { commit_address: Some(address), .. } => Some(bind_listener("commit", *address)?),
             _ => None,
         };
-        let following = match &options.role {
+        let follower = match &options.role {
             Role::Origin { .. } => None,
-            Role::Replica { servers: follow, max_hold: hold } => {
-                let mut following =
-                    FollowerConfig::new(follow.clone(), &options.name, options.follower_number);
-                (following.max_hold, following.limits) = (*hold, options.store_limits());
-                Some((following, Rc::new(client::FollowerStatus::default())))
+            Role::Replica { servers, max_hold } => {
+                let config = FollowerConfig {
+                    max_hold: *max_hold,
+                    limits: options.store_limits(),
+                    ..FollowerConfig::new(servers.clone(), &options.name, options.follower_number)
+                };
+                Some((config, Rc::new(client::FollowerStatus::default())))
             }
         };
-        let status = following.as_ref().map(|(_, status)| status.clone());
+        let follower_status = follower.as_ref().map(|(_, status)| status.clone());
         let version = store.version();
-        log::info!("{} listens on {}: version {version}", options.name, listener.local_addr()?);
-        let state = Rc::new(ServerState::new(options, store, status));
-        Ok(Server { state, follower: following, follower_listener: listener, commit_listener: committers })
+        log::info!("{} listens on {}: version {version}", options.name, follower_listener.local_addr()?);
+        let state = Rc::new(ServerState::new(options, store, follower_status));
+        Ok(Server { state, follower, follower_listener, commit_listener })
     }
 
-    /// Where followers connect.
+    /// The address to which followers connect.
     ///
     /// # Errors
-    /// As the system tells.
+    /// If the operating system does not return the address of the socket.
     pub fn listen_address(&self) -> io::Result<SocketAddr> {
         self.follower_listener.local_addr()
     }
 
-    /// Where changes are committed; none at a replica server.
+    /// The address at which changes are committed; `None` at a replica server and at an origin without commits.
     ///
     /// # Errors
-    /// As the system tells.
+    /// If the operating system does not return the address of the socket.
     pub fn commit_address(&self) -> io::Result<Option<SocketAddr>> {
         self.commit_listener.as_ref().map(TcpListener::local_addr).transpose()
     }
 
-    /// State of its own following; none at the origin.
+    /// The status of a replica server as a follower; `None` at the origin.
     pub fn follower_status(&self) -> Option<Rc<client::FollowerStatus>> {
         self.follower.as_ref().map(|(_, status)| status.clone())
     }
 
-    /// Serves without end; dropping it ends all connections.
+    /// Serves connections. Never returns; dropping the future closes all connections.
     pub async fn run(self) {
-        let Server { state, follower: following, follower_listener: listener, commit_listener: committers } =
-            self;
-        let followers = accept_connections(&listener, state.options().max_follower_connections, |stream| {
+        let Server { state, follower, follower_listener, commit_listener } = self;
+        let max_followers = state.options().max_follower_connections;
+        let serve_followers = accept_connections(&follower_listener, max_followers, |stream| {
             serve_follower(state.clone(), stream)
         });
-        let committers = async {
-            match &committers {
+        let serve_commits = async {
+            match &commit_listener {
                 Some(listener) => {
                     accept_connections(listener, MAX_COMMIT_CONNECTIONS, |stream| {
                         serve_commit_client(state.clone(), stream)
@@ -124,54 +128,55 @@
             }
         };
         let replication = async {
-            match following {
-                Some((following, status)) => replicate(state.clone(), following, status).await,
+            match follower {
+                Some((config, status)) => replicate(state.clone(), config, status).await,
                 None => pending().await,
             }
         };
         tokio::select! {
-            () = followers => {}
-            () = committers => {}
+            () = serve_followers => {}
+            () = serve_commits => {}
             () = replication => {}
         }
     }
 }
 
-/// Follows other servers and feeds the store with what is verified.
-async fn replicate(state: Rc<ServerState>, following: FollowerConfig, status: Rc<client::FollowerStatus>) {
-    let (deliver, mut delivered) = mpsc::unbounded_channel();
-    let feed = async {
-        while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
+/// Follows other servers and applies their verified updates to the store.
+async fn replicate(state: Rc<ServerState>, config: FollowerConfig, status: Rc<client::FollowerStatus>) {
+    let (sender, mut deliveries) = mpsc::unbounded_channel();
+    let apply_updates = async {
+        while let Some(UpdateDelivery { update, applied }) = deliveries.recv().await {
             state.apply_update(&update);
-            log::debug!("version {} with {} changes", update.version, update.changes.len());
-            let _ended = applied.send(());
+            log::debug!("applied version {} with {} changes", update.version, update.changes.len());
+            // The receiver is gone if the follower has ended.
+            let _ignored = applied.send(());
         }
     };
     tokio::select! {
-        () = follow(following, validate_json_shape, deliver, status) => {}
-        () = feed => {}
+        () = follow(config, validate_json_shape, sender, status) => {}
+        () = apply_updates => {}
     }
 }
 
-/// Accepts connections without end, and serves so many at once.
-async fn accept_connections<F>(listener: &TcpListener, most: usize, serve: impl Fn(TcpStream) -> F)
+/// Accepts connections and serves at most `max_connections` at the same time. Never returns.
+async fn accept_connections<F>(listener: &TcpListener, max_connections: usize, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
 {
-    let (mut served, mut turned_away) = (JoinSet::new(), JoinSet::new());
+    let (mut served, mut refused) = (JoinSet::new(), JoinSet::new());
     loop {
         tokio::select! {
-            Some(ended) = served.join_next(), if !served.is_empty() => log_task_failure(ended),
-            Some(ended) = turned_away.join_next(), if !turned_away.is_empty() => log_task_failure(ended),
+            Some(result) = served.join_next(), if !served.is_empty() => log_task_failure(result),
+            Some(result) = refused.join_next(), if !refused.is_empty() => log_task_failure(result),
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if served.len() < most => drop(served.spawn_local(serve(stream))),
-                Ok((stream, _)) if turned_away.len() < MAX_REFUSAL_TASKS => {
-                    turned_away.spawn_local(refuse_connection(stream));
+                Ok((stream, _)) if served.len() < max_connections => drop(served.spawn_local(serve(stream))),
+                Ok((stream, _)) if refused.len() < MAX_REFUSAL_TASKS => {
+                    refused.spawn_local(refuse_connection(stream));
                 }
                 Ok(_) => {}
-                // Out of descriptors, or the other side has gone again: neither is a reason to end or to spin.
+                // There are no free file descriptors, or the peer has closed the connection already.
                 Err(error) => {
-                    log::warn!("a connection can't be accepted: {error}");
+                    log::warn!("can't accept a connection: {error}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -179,12 +184,14 @@
     }
 }
 
-fn log_task_failure(ended: Result<(), JoinError>) {
-    if let Err(error) = ended {
-        log::error!("a connection has failed: {error}");
+/// Logs the panic of a connection's task.
+fn log_task_failure(result: Result<(), JoinError>) {
+    if let Err(error) = result {
+        log::error!("the task of a connection failed: {error}");
     }
 }
 
+/// Binds a listening socket. Errors name the key of the options file that holds the address.
 fn bind_listener(key: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let bind = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
--- a/crates/pondlb-control-net/src/server/request.rs
+++ b/crates/pondlb-control-net/src/server/request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of a control server.
+//! Parsing of the requests to a control server.
 
 use std::time::Duration;
 
@@ -9,56 +9,56 @@
 use crate::http::{Response, StatusCode};
 use crate::options::is_valid_caller_name;
 
-/// No answer is held longer.
+/// The maximum time for which a request is held.
 const MAX_HOLD: Duration = Duration::from_secs(60);
 
-/// A request of a follower, or of somebody who looks at them.
+/// A request at the address for followers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A call of the protocol.
+    /// A request of a replica.
     Replica {
-        /// Who calls, where the call tells it.
+        /// The follower; only requests for changes contain it.
         caller: Option<Caller>,
-        /// What is asked.
+        /// The parsed request.
         request: ReplicaRequest,
     },
-    /// The table of followers.
+    /// A request of an operator for the table of followers.
     Followers,
 }
 
-/// What a follower tells of itself.
+/// What a follower reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// Its name.
     pub name: String,
-    /// How many records of its version it could not put in force.
+    /// The number of records of its version that it could not apply.
     pub unapplied_records: u64,
 }
 
-/// Why a request is not answered.
+/// Why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The first line is no request of HTTP/1.1.
+    /// The first line is not the request line of an HTTP/1.1 request with a path.
     #[error("the first line is no request")]
     Malformed,
-    /// Another method than the address serves.
+    /// The method is not allowed at this address.
     #[error("{0} is not served here")]
     MethodNotAllowed(String),
-    /// No such path.
+    /// There is no such path.
     #[error("{0}: no such path")]
     UnknownPath(String),
-    /// A parameter is missing or can't be read.
+    /// A query parameter is missing or invalid.
     #[error("{parameter}: {accepted} is accepted")]
     InvalidParameter {
-        /// Which one.
+        /// The name of the parameter.
         parameter: &'static str,
-        /// What is accepted.
+        /// Which values are accepted.
         accepted: &'static str,
     },
 }
 
 impl RequestError {
-    /// What the caller is answered.
+    /// The error response.
     pub fn response(&self) -> Response {
         let status = match self {
             RequestError::Malformed | RequestError::InvalidParameter { .. } => StatusCode::BadRequest,
@@ -81,7 +81,7 @@
 }
 
 impl Request {
-    /// Reads a request from its head.
+    /// Parses the head of a request.
     pub fn parse(head: &Head) -> Result<Request, RequestError> {
         let (method, target) = method_and_target(head)?;
         if method != "GET" {
@@ -115,30 +115,31 @@
             0 => LongPoll::No,
             hold_ms => LongPoll::UpTo(Duration::from_millis(hold_ms).min(MAX_HOLD)),
         };
-        let refused = if query.get(UNAPPLIED_RECORDS_PARAMETER).is_some() {
+        let unapplied_records = if query.get(UNAPPLIED_RECORDS_PARAMETER).is_some() {
             query.parse_number(UNAPPLIED_RECORDS_PARAMETER)?
         } else {
             0
         };
-        let caller = Caller { name: name.to_string(), unapplied_records: refused };
+        let caller = Caller { name: name.to_string(), unapplied_records };
         Ok(Request::Replica { caller: Some(caller), request: ReplicaRequest::Changes { from, digest, hold } })
     }
 
     fn parse_snapshot(query: &str) -> Result<Request, RequestError> {
-        let bad = RequestError::InvalidParameter { parameter: "after", accepted: "a key" };
+        let invalid = RequestError::InvalidParameter { parameter: "after", accepted: "a key" };
         let after = match Query(query).get("after") {
             None if query.is_empty() => None,
-            None => return Err(bad),
-            Some(after) => Some(Key::parse_percent_encoded(after).map_err(|_| bad)?),
+            None => return Err(invalid),
+            Some(after) => Some(Key::parse_percent_encoded(after).map_err(|_| invalid)?),
         };
         Ok(Request::Replica { caller: None, request: ReplicaRequest::Snapshot { after } })
     }
 }
 
-/// The parameters of a request, as they came.
+/// The query string of a target. Values are not decoded.
 struct Query<'a>(&'a str);
 
 impl<'a> Query<'a> {
+    /// The value of the first parameter with this name.
     fn get(&self, name: &str) -> Option<&'a str> {
         self.0
             .split('&')
@@ -146,6 +147,7 @@
             .map(|(_, value)| value)
     }
 
+    /// The value of a required parameter that is an unsigned decimal number.
     fn parse_number(&self, name: &'static str) -> Result<u64, RequestError> {
         let value = self.get(name).filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()));
         let number = value.and_then(|value| value.parse().ok());
@@ -153,6 +155,7 @@
     }
 }
 
+/// Parses the 16 hexadecimal digits of a digest.
 fn parse_digest(text: &str) -> Option<Digest> {
     let is_digest = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| is_digest).map(Digest)
--- a/crates/pondlb-control-net/src/server/state.rs
+++ b/crates/pondlb-control-net/src/server/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a control server share.
+//! The state that all connections of a control server share.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,17 +17,21 @@
 use crate::options::ServerOptions;
 use crate::validation::validate_remaining_classes;
 
-/// The longest piece of a snapshot, unless one record alone is longer.
+/// The maximum length of a snapshot page, unless a single record is longer.
 const SNAPSHOT_PAGE_BYTES: usize = 64 * 1024;
-/// How long the first piece of a snapshot may wait for its turn: more snapshots than can be given are not begun.
+/// The maximum time that the first page of a snapshot waits for the rate limit. If it would be longer, the snapshot is
+/// refused, so that no more snapshots are started than can be completed.
 const FIRST_PAGE_MAX_WAIT: Duration = Duration::from_millis(100);
-/// The same for further pieces, so that what is begun is ended. A caller waits 2.2 s.
+/// The same for the other pages, so that started snapshots are completed. The request timeout of followers is 2.2 s.
 const NEXT_PAGE_MAX_WAIT: Duration = Duration::from_millis(1500);
 
-/// The staleness that answers tell is rounded up to this, so that callers at about the same time share one.
+/// The staleness in responses is rounded up to a multiple of this, so that requests at about the same time share a
+/// cached response.
 const STALENESS_STEP_MS: u64 = 100;
 
-/// The records of a server and what bounds its work. Cells are borrowed inside single calls only.
+/// The records of a server, its response cache and its limits.
+///
+/// Each `RefCell` is borrowed only within a single method call, never across an await.
 pub struct ServerState {
     options: ServerOptions,
     store: RefCell<Store>,
@@ -35,16 +39,16 @@
     version: watch::Sender<Version>,
     followers: RefCell<FollowerTable>,
     snapshot_page_rate: RefCell<TokenBucket>,
-    /// State of the own following; none at the origin.
+    /// The status of a replica server as a follower; `None` at the origin.
     follower_status: Option<Rc<client::FollowerStatus>>,
 }
 
 impl ServerState {
-    /// The state of a server that begins with this store.
+    /// Creates the state of a server that starts with this store.
     pub fn new(
         options: ServerOptions,
         store: Store,
-        following: Option<Rc<client::FollowerStatus>>,
+        follower_status: Option<Rc<client::FollowerStatus>>,
     ) -> ServerState {
         let (version, _) = watch::channel(store.version());
         ServerState {
@@ -57,26 +61,26 @@
                 Instant::now(),
             )),
             options,
-            follower_status: following,
+            follower_status,
         }
     }
 
-    /// What the server was told.
+    /// The options of the server.
     pub fn options(&self) -> &ServerOptions {
         &self.options
     }
 
-    /// The version of all records.
+    /// The version of the records.
     pub fn version(&self) -> Version {
         *self.version.borrow()
     }
 
-    /// Told of each new version.
+    /// A receiver that is notified of each new version.
     pub fn subscribe_versions(&self) -> watch::Receiver<Version> {
         self.version.subscribe()
     }
 
-    /// Whether it holds a whole state that can be served.
+    /// Whether the server has a complete state.
     pub fn is_ready(&self) -> bool {
         self.version().epoch != 0
     }
@@ -86,7 +90,7 @@
         self.store.borrow().digest()
     }
 
-    /// Commits changes, all or none.
+    /// Commits all of these changes, or none.
     pub fn commit(&self, changes: &[NewChange]) -> Result<Version, CommitError> {
         validate_remaining_classes(&self.store.borrow(), changes)?;
         let version = self.store.borrow_mut().commit(changes, &self.options.validate)?;
@@ -94,39 +98,40 @@
         Ok(version)
     }
 
-    /// Takes what the own replica has verified.
+    /// Applies an update that the server's own replica has verified.
     pub fn apply_update(&self, update: &Update) {
         self.store.borrow_mut().apply_update(update);
         let version = self.store.borrow().version();
         self.publish_version(version);
     }
 
-    /// An answer about all records as they are now; encoded once for all callers that ask for the same.
+    /// The response with this key for the present records. It is encoded once and shared by all requests with this key.
     pub fn response(&self, key: ResponseKey) -> serde_json::Result<EncodedResponse> {
         let version = self.version();
-        if let Some(answer) = self.responses.borrow().get(version, &key) {
-            return Ok(answer);
+        if let Some(response) = self.responses.borrow().get(version, &key) {
+            return Ok(response);
         }
-        let answer = self.encode(&key)?;
-        self.responses.borrow_mut().insert(version, key, answer.clone());
-        Ok(answer)
+        let response = self.encode(&key)?;
+        self.responses.borrow_mut().insert(version, key, response.clone());
+        Ok(response)
     }
 
-    /// How long the next piece of a snapshot has to wait; none where it would be too long.
+    /// Reserves the next snapshot page within the rate limit and returns how long it has to wait. Returns `None` if that
+    /// is too long.
     pub fn reserve_snapshot_page(&self, is_first: bool) -> Option<Duration> {
-        let most = if is_first { FIRST_PAGE_MAX_WAIT } else { NEXT_PAGE_MAX_WAIT };
-        self.snapshot_page_rate.borrow_mut().take(Instant::now(), most)
+        let max_wait = if is_first { FIRST_PAGE_MAX_WAIT } else { NEXT_PAGE_MAX_WAIT };
+        self.snapshot_page_rate.borrow_mut().reserve(Instant::now(), max_wait)
     }
 
-    /// Whether there is a bucket of this number.
+    /// Whether there is a bucket with this number.
     pub fn has_bucket(&self, bucket: usize) -> bool {
         self.store.borrow().has_bucket(bucket)
     }
 
-    /// A follower has called with this version and digest.
+    /// Records a request of a follower that has this version and digest.
     pub fn record_follower(&self, caller: &Caller, version: Version, digest: Digest) {
-        let has_all = version == self.version() && digest == self.digest();
-        self.followers.borrow_mut().record_request(caller, version, has_all, Instant::now());
+        let has_current_records = version == self.version() && digest == self.digest();
+        self.followers.borrow_mut().record_request(caller, version, has_current_records, Instant::now());
     }
 
     /// The table of followers.
@@ -137,30 +142,32 @@
         }
     }
 
-    /// For how many milliseconds the server has not heard from the origin, rounded up; 0 at the origin itself.
+    /// The staleness of the records in milliseconds, rounded up to [`STALENESS_STEP_MS`]; 0 at the origin.
     pub fn stale_ms(&self) -> u64 {
         let staleness = self.follower_status.as_ref().map_or(Duration::ZERO, |status| status.staleness());
         let stale_ms = u64::try_from(staleness.as_millis()).unwrap_or(u64::MAX);
         stale_ms.checked_next_multiple_of(STALENESS_STEP_MS).unwrap_or(u64::MAX)
     }
 
+    /// Invalidates the cached responses and notifies the waiting requests of a new version.
     fn publish_version(&self, version: Version) {
         self.responses.borrow_mut().clear();
         self.version.send_replace(version);
     }
 
+    /// Encodes a response for the present records.
     fn encode(
         &self,
-        ResponseKey { content, accepted_coding: accepted }: &ResponseKey,
+        ResponseKey { content, accepted_coding }: &ResponseKey,
     ) -> serde_json::Result<EncodedResponse> {
         let store = self.store.borrow();
-        let (mut has_changes, mut more) = (false, false);
+        let (mut has_changes, mut has_more) = (false, false);
         let plain = match content {
             ResponseContent::Changes { from, stale_ms } => {
-                let mut answer = store.changes_since(*from, self.options.max_changes_bytes);
-                answer.stale_ms = *stale_ms;
-                (has_changes, more) = (!answer.changes.is_empty(), answer.has_more);
-                serde_json::to_vec(&answer)?
+                let mut changes = store.changes_since(*from, self.options.max_changes_bytes);
+                changes.stale_ms = *stale_ms;
+                (has_changes, has_more) = (!changes.changes.is_empty(), changes.has_more);
+                serde_json::to_vec(&changes)?
             }
             ResponseContent::Snapshot { after } => {
                 serde_json::to_vec(&store.snapshot_page(after.as_ref(), SNAPSHOT_PAGE_BYTES))?
@@ -168,7 +175,7 @@
             ResponseContent::Digests => serde_json::to_vec(&store.bucket_digests())?,
             ResponseContent::Bucket(bucket) => serde_json::to_vec(&store.bucket_records(*bucket))?,
         };
-        let (body, coding) = coding::encode(plain, *accepted);
-        Ok(EncodedResponse { body: body.into(), coding, has_changes, has_more: more })
+        let (body, coding) = coding::encode(plain, *accepted_coding);
+        Ok(EncodedResponse { body: body.into(), coding, has_changes, has_more })
     }
 }
--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -76,7 +76,9 @@
     table.record_request(&caller("a"), version(2), true, now + Duration::from_secs(31));
     let names = |table: &mut FollowerTable, seconds| {
         let rows = table.list(now + Duration::from_secs(seconds));
-        rows.iter().map(|row| format!("{}@{}:{} ", row.name, row.version, row.seen_ms)).collect::<String>()
+        rows.iter()
+            .map(|row| format!("{}@{}:{} ", row.name, row.version, row.last_request_age_ms))
+            .collect::<String>()
     };
     assert_eq!(names(&mut table, 32), "a@7.2:1000 b@7.1:2000 ");
     assert_eq!(names(&mut table, 90), "a@7.2:59000 ");
@@ -155,15 +157,15 @@
     let mut bucket = TokenBucket::new(2.0, now);
     let ms = Duration::from_millis;
     let none = Duration::ZERO;
-    assert_eq!(bucket.take(now, none), Some(none));
-    assert_eq!(bucket.take(now, none), Some(none));
-    assert_eq!(bucket.take(now, none), None);
-    assert_eq!(bucket.take(now, ms(500)), Some(ms(500)));
-    assert_eq!(bucket.take(now, ms(500)), None);
-    assert_eq!(bucket.take(now + ms(1000), none), Some(none));
-    assert_eq!(bucket.take(now + ms(60_000), none), Some(none));
-    assert_eq!(bucket.take(now + ms(60_000), none), Some(none));
-    assert_eq!(bucket.take(now + ms(60_000), none), None);
+    assert_eq!(bucket.reserve(now, none), Some(none));
+    assert_eq!(bucket.reserve(now, none), Some(none));
+    assert_eq!(bucket.reserve(now, none), None);
+    assert_eq!(bucket.reserve(now, ms(500)), Some(ms(500)));
+    assert_eq!(bucket.reserve(now, ms(500)), None);
+    assert_eq!(bucket.reserve(now + ms(1000), none), Some(none));
+    assert_eq!(bucket.reserve(now + ms(60_000), none), Some(none));
+    assert_eq!(bucket.reserve(now + ms(60_000), none), Some(none));
+    assert_eq!(bucket.reserve(now + ms(60_000), none), None);
 }
 
 fn bucket_key(bucket: usize) -> ResponseKey {
--- a/crates/pondlb-control-net/src/server/token_bucket.rs
+++ b/crates/pondlb-control-net/src/server/token_bucket.rs
@@ -1,31 +1,33 @@
-//! A rate limit.
+//! Rate limiting with a token bucket.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Tokens that come at a steady rate; as many as come in a second are kept.
+/// A token bucket that is refilled at a constant rate. Its capacity is the number of tokens of one second, at least one.
 #[derive(Debug)]
 pub struct TokenBucket {
     tokens_per_second: f64,
-    /// Below zero where tokens have been promised that are still to come.
+    /// The number of available tokens when the bucket was last refilled. It is negative if tokens are reserved that are
+    /// not available yet.
     tokens: f64,
     refilled_at: Instant,
 }
 
 impl TokenBucket {
     /// A full bucket.
-    pub fn new(per_second: f64, now: Instant) -> TokenBucket {
-        TokenBucket { tokens_per_second: per_second, tokens: per_second.max(1.0), refilled_at: now }
+    pub fn new(tokens_per_second: f64, now: Instant) -> TokenBucket {
+        TokenBucket { tokens_per_second, tokens: tokens_per_second.max(1.0), refilled_at: now }
     }
 
-    /// Takes a token and says how long to wait for it; none is taken where that is longer than `most`.
-    pub fn take(&mut self, now: Instant, most: Duration) -> Option<Duration> {
+    /// Reserves a token and returns the time to wait until it is available. Returns `None` and reserves nothing if that
+    /// is longer than `max_wait`.
+    pub fn reserve(&mut self, now: Instant, max_wait: Duration) -> Option<Duration> {
         let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
-        let tokens =
-            (self.tokens + elapsed * self.tokens_per_second).min(self.tokens_per_second.max(1.0)) - 1.0;
+        let capacity = self.tokens_per_second.max(1.0);
+        let tokens = (self.tokens + elapsed * self.tokens_per_second).min(capacity) - 1.0;
         let wait = Duration::try_from_secs_f64((-tokens).max(0.0) / self.tokens_per_second).ok()?;
-        if wait > most {
+        if wait > max_wait {
             return None;
         }
         (self.tokens, self.refilled_at) = (tokens, now);
--- a/crates/pondlb-control-net/src/validation.rs
+++ b/crates/pondlb-control-net/src/validation.rs
@@ -1,4 +1,4 @@
-//! Which values of records are taken.
+//! Validation of records.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -6,14 +6,16 @@
 use pondlb_control::{CommitError, Key, NewChange, RecordKind, Store};
 use pondlb_terms::{SettingChange, Target};
 
-/// Says whether a value may be taken for a record, or the record be removed, and why not.
+/// Validates the new value of a record, or its removal (`None`). The error is the reason why it is not allowed.
 pub type ValidateRecord = fn(&Key, Option<&str>) -> Result<(), String>;
 
-/// Takes any JSON object for an upstream, a class or a tenant, and any scalar for a limit: for a server that hands
-/// records on, also to balancers that know more of them than it does.
+/// Accepts any JSON object as an upstream, a class or a tenant, and any JSON scalar as a limit.
+///
+/// Replica servers use this check, because the balancers that they serve may be of a newer version and know more fields
+/// and limits than they do.
 ///
 /// # Errors
-/// Says what is accepted, where the value is of another shape.
+/// The accepted JSON type if the value has another one.
 pub fn validate_json_shape(key: &Key, value: Option<&str>) -> Result<(), String> {
     let Some(value) = value else { return Ok(()) };
     let first = value.trim_start().bytes().next();
@@ -28,10 +30,10 @@
     }
 }
 
-/// Takes what a balancer can put in force, as far as that shows from the record alone.
+/// Accepts what a balancer can apply, as far as this can be decided from the record alone.
 ///
 /// # Errors
-/// Says what is wrong with the value.
+/// The reason why the value is not allowed.
 pub fn validate_record(key: &Key, value: Option<&str>) -> Result<(), String> {
     validate_json_shape(key, value)?;
     match (key.kind(), value) {
@@ -44,21 +46,21 @@
     }
 }
 
-/// Where a commit removes a class, at least one class must be left: without any no balancer could serve.
+/// Checks that a commit that removes a class leaves at least one class. Without any, no balancer could serve.
 ///
 /// # Errors
-/// [`CommitError::InvalidRecord`] with the last class that the commit removes.
+/// [`CommitError::InvalidRecord`] with the last removal of a class in the commit.
 pub fn validate_remaining_classes(store: &Store, changes: &[NewChange]) -> Result<(), CommitError> {
-    let classes = || changes.iter().filter(|change| change.key.kind() == RecordKind::Class);
-    let Some(removal) = classes().rfind(|change| change.value.is_none()) else { return Ok(()) };
-    let mut left: HashSet<&Key> = store.keys(RecordKind::Class).collect();
-    for NewChange { key, value } in classes() {
+    let class_changes = || changes.iter().filter(|change| change.key.kind() == RecordKind::Class);
+    let Some(removal) = class_changes().rfind(|change| change.value.is_none()) else { return Ok(()) };
+    let mut remaining: HashSet<&Key> = store.keys(RecordKind::Class).collect();
+    for NewChange { key, value } in class_changes() {
         match value {
-            Some(_) => left.insert(key),
-            None => left.remove(key),
+            Some(_) => remaining.insert(key),
+            None => remaining.remove(key),
         };
     }
-    if !left.is_empty() {
+    if !remaining.is_empty() {
         return Ok(());
     }
     Err(CommitError::InvalidRecord {
--- a/crates/pondlb-control-net/tests/program.rs
+++ b/crates/pondlb-control-net/tests/program.rs
@@ -42,7 +42,7 @@
     expect![[r#"
         faulty.toml: other: no such key; accepted are name, number, listen, commit, initial, epoch, follow, hold_ms, gather_ms, piece_bytes, followers, memory_mb, snapshot_pieces_per_second
         faulty.toml: listen: invalid socket address syntax
-        faulty.toml: commit: is accepted of an origin only, not beside follow
+        faulty.toml: commit: is accepted only for an origin, not together with follow
         faulty.toml: follow: one address or more is accepted
         faulty.toml: name: "a b": 1 to 64 letters, digits, '-', '_' or '.' are accepted
         faulty.toml: gather_ms: invalid value: integer `-1`, expected u64
@@ -54,7 +54,7 @@
     assert_eq!(output.status.code(), Some(2));
     expect![[r#"
         empty.toml: listen: is required
-        empty.toml: follow: follow, or commit or initial, is required
+        empty.toml: follow: either follow, or commit or initial is required
     "#]]
     .assert_eq(&faults(&output));
     let output = run("no-toml.toml", "listen");
