--- a/crates/pondlb-control-net/src/server/tests.rs
+++ b/crates/pondlb-control-net/src/server/tests.rs
@@ -1,4 +1,4 @@
-//! Requests, the table of followers, the rate limit and shared answers, without sockets.
+//! Unit tests of requests, the table of followers, commits, the rate limit and the response cache.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use pondlb_http::Head;
 use tokio::time::Instant;
 
-use super::followers::FollowerTable;
+use super::followers::{FollowerState, FollowerTable, FollowersResponse};
 use super::request::{Caller, Request};
 use super::response_cache::{
     EncodedResponse, MAX_CACHED_BYTES, MAX_CACHED_RESPONSES, ResponseCache, ResponseContent, ResponseKey,
@@ -20,7 +20,8 @@
 use crate::options::{Role, ServerOptions};
 use crate::validation::validate_json_shape;
 
-fn read(line: &str) -> String {
+/// Parses a request with this first line and returns the result as a line of text.
+fn parse(line: &str) -> String {
     let head = Head { start_line: line.to_string(), fields: Vec::new() };
     match Request::parse(&head) {
         Ok(request) => format!("{request:?}\n"),
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn requests_are_read_from_their_first_line() {
+fn requests_are_parsed_from_the_request_line() {
     let digest = "digest=00000000000000ff";
     let lines = [
         format!("GET /control/changes?name=b-1&epoch=7&from=9&{digest}&hold_ms=99999999 HTTP/1.1"),
@@ -46,26 +47,26 @@
         "GET control HTTP/1.1".into(),
         "GET /control/bucket HTTP/1.1".into(),
     ];
-    let made: String = lines.iter().map(|line| read(line)).collect();
+    let parsed: String = lines.iter().map(|line| parse(line)).collect();
     expect![[r#"
-        Call { caller: Some(Caller { name: "b-1", refused: 0 }), call: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: UpTo(60s) } }
-        Call { caller: Some(Caller { name: "b-1", refused: 0 }), call: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: No } }
-        Call { caller: Some(Caller { name: "b-1", refused: 2 }), call: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: No } }
+        Replica { caller: Some(Caller { name: "b-1", unapplied_records: 0 }), request: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: UpTo(60s) } }
+        Replica { caller: Some(Caller { name: "b-1", unapplied_records: 0 }), request: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: No } }
+        Replica { caller: Some(Caller { name: "b-1", unapplied_records: 2 }), request: Changes { from: Version { epoch: 7, revision: 9 }, digest: Digest(255), hold: No } }
         refused: a whole number is accepted
-        Call { caller: None, call: Snapshot { after: None } }
-        Call { caller: None, call: Snapshot { after: Some(upstream/a&b=c) } }
-        Call { caller: None, call: Digests }
-        Call { caller: None, call: Bucket(3) }
+        Replica { caller: None, request: Snapshot { after: None } }
+        Replica { caller: None, request: Snapshot { after: Some(upstream/a&b=c) } }
+        Replica { caller: None, request: Digests }
+        Replica { caller: None, request: Bucket(3) }
         Followers
         POST is not served here
         the first line is no request
         the first line is no request
         bucket: a whole number is accepted
-    "#]].assert_eq(&made);
+    "#]].assert_eq(&parsed);
 }
 
 #[test]
-fn the_table_of_followers_is_bounded_and_forgets() {
+fn follower_table_is_bounded_and_removes_expired_followers() {
     let now = Instant::now();
     let mut table = FollowerTable::new(2);
     let version = |revision| Version { epoch: 7, revision };
@@ -74,43 +75,67 @@
     table.record_request(&caller("b"), version(1), true, now + Duration::from_secs(30));
     table.record_request(&caller("c"), version(1), true, now + Duration::from_secs(30));
     table.record_request(&caller("a"), version(2), true, now + Duration::from_secs(31));
-    let names = |table: &mut FollowerTable, seconds| {
-        let rows = table.list(now + Duration::from_secs(seconds));
-        rows.iter()
-            .map(|row| format!("{}@{}:{} ", row.name, row.version, row.last_request_age_ms))
+    let listed = |table: &mut FollowerTable, seconds| {
+        let followers = table.list(now + Duration::from_secs(seconds));
+        followers
+            .iter()
+            .map(|follower| {
+                format!("{}@{}:{} ", follower.name, follower.version, follower.last_request_age_ms)
+            })
             .collect::<String>()
     };
-    assert_eq!(names(&mut table, 32), "a@7.2:1000 b@7.1:2000 ");
-    assert_eq!(names(&mut table, 90), "a@7.2:59000 ");
+    assert_eq!(listed(&mut table, 32), "a@7.2:1000 b@7.1:2000 ");
+    assert_eq!(listed(&mut table, 90), "a@7.2:59000 ");
     table.record_request(&caller("c"), version(3), true, now + Duration::from_secs(90));
-    assert_eq!(names(&mut table, 100), "c@7.3:10000 ");
+    assert_eq!(listed(&mut table, 100), "c@7.3:10000 ");
 }
 
 #[test]
-fn a_follower_that_could_not_put_a_record_in_force_is_not_in_sync() {
+fn follower_with_unapplied_records_is_not_in_sync() {
     let now = Instant::now();
     let mut table = FollowerTable::new(1);
-    for (refused, has_all, in_sync) in [(0, true, true), (1, true, false), (0, false, false), (0, true, true)]
+    for (unapplied_records, has_current_records, in_sync) in
+        [(0, true, true), (1, true, false), (0, false, false), (0, true, true)]
     {
         table.record_request(
-            &Caller { name: "a".into(), unapplied_records: refused },
+            &Caller { name: "a".into(), unapplied_records },
             Version { epoch: 7, revision: 1 },
-            has_all,
+            has_current_records,
             now,
         );
-        let row = table.list(now).remove(0);
-        assert_eq!((row.unapplied_records, row.in_sync), (refused, in_sync));
+        let follower = table.list(now).remove(0);
+        assert_eq!((follower.unapplied_records, follower.in_sync), (unapplied_records, in_sync));
     }
 }
 
+/// Operators read this response with tools of their own, so the names of its fields must not change.
+#[test]
+fn followers_response_keeps_its_json_fields() {
+    let version = Version { epoch: 7, revision: 9 };
+    let follower = FollowerState {
+        name: "a".into(),
+        version,
+        in_sync: false,
+        unapplied_records: 2,
+        last_request_age_ms: 1500,
+    };
+    let response = FollowersResponse { version, followers: vec![follower] };
+    let json = serde_json::to_string(&response).expect("valid JSON");
+    expect![[
+        r#"{"version":{"epoch":7,"revision":9},"followers":[{"name":"a","version":{"epoch":7,"revision":9},"in_sync":false,"refused":2,"seen_ms":1500}]}"#
+    ]]
+    .assert_eq(&json);
+}
+
+/// A change of a class, or its removal.
 fn class_change(name: &str, value: Option<&str>) -> NewChange {
     let value = value.and_then(|text| serde_json::value::RawValue::from_string(text.into()).ok());
     NewChange { key: Key::new(RecordKind::Class, name).expect("a name"), value }
 }
 
-/// The danger is a version that no balancer can put in force: without any class none could serve.
+/// No balancer can apply a version without any class, so such a commit must be rejected as a whole.
 #[test]
-fn a_commit_that_removes_a_class_leaves_one() {
+fn commit_that_removes_the_last_class_is_rejected() {
     let role = Role::Origin { commit_address: None, initial_records: Vec::new(), epoch: 7 };
     let options = ServerOptions {
         validate: validate_json_shape,
@@ -125,7 +150,7 @@
     };
     let mut trace = String::new();
     for changes in [
-        // Of classes that only balancers have in their files the origin knows nothing.
+        // The store has no classes yet. Those in the configuration files of balancers do not count.
         vec![upstream.clone(), remove("a")],
         vec![upstream.clone(), remove("z"), set("a"), set("b")],
         vec![remove("a")],
@@ -152,7 +177,7 @@
 }
 
 #[test]
-fn tokens_come_at_their_rate_and_are_promised_only_for_soon() {
+fn token_bucket_refills_at_its_rate_and_bounds_the_wait() {
     let now = Instant::now();
     let mut bucket = TokenBucket::new(2.0, now);
     let ms = Duration::from_millis;
@@ -172,30 +197,30 @@
     ResponseKey { content: ResponseContent::Bucket(bucket), accepted_coding: ContentCoding::Identity }
 }
 
-fn answer_of(bytes: usize) -> EncodedResponse {
+fn response_with_body(bytes: usize) -> EncodedResponse {
     let coding = ContentCoding::Identity;
     EncodedResponse { body: vec![b' '; bytes].into(), coding, has_changes: false, has_more: false }
 }
 
 #[test]
-fn kept_answers_are_bounded_and_of_one_version() {
+fn response_cache_is_bounded_and_of_one_version() {
     let version = |revision| Version { epoch: 7, revision };
     let mut cache = ResponseCache::default();
     for bucket in 0..=MAX_CACHED_RESPONSES {
-        cache.insert(version(1), bucket_key(bucket), answer_of(10));
+        cache.insert(version(1), bucket_key(bucket), response_with_body(10));
     }
     assert_eq!(cache.size(), (MAX_CACHED_RESPONSES, 10 * MAX_CACHED_RESPONSES));
-    assert!(cache.get(version(1), &bucket_key(0)).is_none(), "the oldest has made room");
+    assert!(cache.get(version(1), &bucket_key(0)).is_none(), "the oldest is evicted");
     assert!(cache.get(version(1), &bucket_key(1)).is_some());
-    assert!(cache.get(version(2), &bucket_key(1)).is_none(), "it is of an older version");
-    cache.insert(version(2), bucket_key(0), answer_of(MAX_CACHED_BYTES - 10));
+    assert!(cache.get(version(2), &bucket_key(1)).is_none(), "the cached response is of an older version");
+    cache.insert(version(2), bucket_key(0), response_with_body(MAX_CACHED_BYTES - 10));
     assert_eq!(cache.size(), (1, MAX_CACHED_BYTES - 10));
-    cache.insert(version(2), bucket_key(0), answer_of(MAX_CACHED_BYTES - 20));
-    assert_eq!(cache.size().0, 1, "one for each key");
-    cache.insert(version(2), bucket_key(1), answer_of(30));
+    cache.insert(version(2), bucket_key(0), response_with_body(MAX_CACHED_BYTES - 20));
+    assert_eq!(cache.size().0, 1, "the response with this key is replaced");
+    cache.insert(version(2), bucket_key(1), response_with_body(30));
     assert_eq!(cache.size(), (1, 30));
-    cache.insert(version(2), bucket_key(2), answer_of(MAX_CACHED_BYTES + 1));
-    assert_eq!(cache.size(), (1, 30), "too long to be kept");
+    cache.insert(version(2), bucket_key(2), response_with_body(MAX_CACHED_BYTES + 1));
+    assert_eq!(cache.size(), (1, 30), "too long to be cached");
 }
 
 fn record(name: &str, value: &str, revision: u64) -> Change {
@@ -203,9 +228,9 @@
     Change { revision, key: Key::new(RecordKind::Upstream, name).expect("a name"), value }
 }
 
-/// A replica server takes repairs, which change records within one version.
+/// A replica server applies repairs, which change records without a new version.
 #[test]
-fn a_kept_answer_is_shared_until_the_records_change() {
+fn cached_response_is_shared_until_the_records_change() {
     let role = Role::Replica { servers: Vec::new(), max_hold: Duration::ZERO };
     let options = ServerOptions::new(([127, 0, 0, 1], 0).into(), role);
     let state = ServerState::new(options, Store::new(0, Limits::default()), None);
@@ -220,11 +245,14 @@
         content: ResponseContent::Snapshot { after: None },
         accepted_coding: ContentCoding::Identity,
     };
-    let body = || state.response(key.clone()).expect("an answer").body;
+    let body = || state.response(key.clone()).expect("a response").body;
     state.apply_update(&update("{\"size\":1}"));
     let first = body();
     assert!(Rc::ptr_eq(&first, &body()), "encoded once");
     state.apply_update(&update("{\"size\":2}"));
     assert!(String::from_utf8_lossy(&first).contains("\"size\":1"));
-    assert!(String::from_utf8_lossy(&body()).contains("\"size\":2"), "of the same version, but repaired");
+    assert!(
+        String::from_utf8_lossy(&body()).contains("\"size\":2"),
+        "the repair must invalidate the cached response"
+    );
 }
