--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -9,7 +9,7 @@
 
 use pondlb::{Balancer, ListSource, TenthMillis};
 use pondlb_control::Change;
-use pondlb_control_net::Status;
+use pondlb_control_net::FollowerStatus;
 use pondlb_terms::{ConfigError, ConnectionLimits, SettingChange};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -100,7 +100,7 @@
     settings_rx: mpsc::UnboundedReceiver<SettingsUpdate>,
     /// Records from control servers that are not valid together with the current settings.
     refused_changes: Vec<Change>,
-    control_status: Rc<Status>,
+    control_status: Rc<FollowerStatus>,
     connections: Rc<ConnectionTable>,
     live_settings: LiveSettings,
     terminate: Signal,
@@ -181,7 +181,7 @@
                 exchange_tx.clone(),
             ));
         }
-        let control_status = Rc::new(Status::default());
+        let control_status = Rc::new(FollowerStatus::default());
         if let Some(control) = setup.control.clone() {
             let targets = &setup.initial_list.targets;
             let initial_upstreams = targets.iter().map(|target| target.upstream.clone()).collect();
@@ -349,7 +349,7 @@
                 Err(_) => self.refused_changes.push(change),
             }
         }
-        self.control_status.note_refused(self.refused_changes.len() as u64);
+        self.control_status.set_unapplied_records(self.refused_changes.len() as u64);
     }
 
     /// Hands the notes received so far to the exchange. They must not be handled after a change of the settings: their
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pondlb_control::{Change, Limits, Update, Version};
-use pondlb_control_net::{Delivered, Following, Status, check_record, follow};
+use pondlb_control_net::{FollowerConfig, FollowerStatus, UpdateDelivery, follow, validate_record};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
     /// Where changes of the settings are sent.
     pub settings_tx: mpsc::UnboundedSender<SettingsUpdate>,
     /// What is reported to the control servers, among it the number of records that could not be applied.
-    pub status: Rc<Status>,
+    pub status: Rc<FollowerStatus>,
     /// The upstreams known before the first snapshot. Those that the snapshot lacks have been removed meanwhile.
     pub initial_upstreams: BTreeSet<String>,
 }
@@ -61,12 +61,12 @@
     let ControlFollower { name, number, seed, max_snapshot_bytes, settings_tx, status, initial_upstreams } =
         follower;
     let limits = Limits { max_total_bytes: max_snapshot_bytes, ..Limits::default() };
-    let mut following = Following::new(control.servers, &name, number);
-    (following.seed, following.hold, following.limits) = (seed, control.hold, limits);
+    let mut following = FollowerConfig::new(control.servers, &name, number);
+    (following.seed, following.max_hold, following.limits) = (seed, control.hold, limits);
     let (deliver, delivered) = mpsc::unbounded_channel();
     let applier = UpdateApplier { exchange_tx, settings_tx, initial_upstreams, last_logged_at: None };
     tokio::select! {
-        () = follow(following, check_record, deliver, status) => {}
+        () = follow(following, validate_record, deliver, status) => {}
         () = applier.run(delivered) => {}
     }
 }
@@ -82,14 +82,14 @@
 }
 
 impl UpdateApplier {
-    async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<Delivered>) {
-        while let Some(Delivered { update, in_force }) = delivered.recv().await {
+    async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<UpdateDelivery>) {
+        while let Some(UpdateDelivery { update, applied }) = delivered.recv().await {
             let (version, records) = (update.version, update.changes.len());
             if self.apply(update).await.is_none() {
                 return;
             }
             self.log_version(version, records);
-            let _ended = in_force.send(());
+            let _ended = applied.send(());
         }
     }
 
