--- a/crates/pondlb-control-net/benches/follow.rs
+++ b/crates/pondlb-control-net/benches/follow.rs
@@ -1,10 +1,10 @@
 //! Measures the cost of a follower per record for a snapshot, the removal of a zone and the return of the zone.
 //!
-//! The followers are those of the balancer and use sockets; the server only sends responses that are encoded beforehand.
-//! The benchmark prints the elapsed time per record and the longest single poll of a follower. During such a poll, the
-//! thread of a balancer serves no requests. To count instructions, run it under `valgrind --tool=callgrind` with two
-//! numbers of followers and take the difference, or with `--toggle-collect='*Timed*poll*'`, which excludes the server and
-//! the setup.
+//! The followers are those of the balancer and use sockets; the server only sends responses that are encoded
+//! beforehand. The benchmark prints the elapsed time per record and the longest single poll of a follower. During such
+//! a poll, the thread of a balancer serves no requests. To count instructions, run it under `valgrind --tool=callgrind`
+//! with two numbers of followers and take the difference, or with `--toggle-collect='*Timed*poll*'`, which excludes the
+//! server and the setup.
 //!
 //! `cargo bench -p pondlb-control-net --bench follow -- FOLLOWERS STATES CHECK`: STATES is 1 for the snapshot only, 2
 //! with the removal of the zone, 3 with its return; CHECK is `any` to accept all records or `record` to validate them.
@@ -35,8 +35,9 @@
 
 const UPSTREAMS: usize = 24_000;
 const ZONES: usize = 10;
-/// The default and the fixed value of the control server.
+/// The default of the control server.
 const MAX_CHANGES_BYTES: usize = 16_384;
+/// The page size of the control server.
 const SNAPSHOT_PAGE_BYTES: usize = 65_536;
 const GZIP_LEVEL: u32 = 1;
 const MAX_HOLD: Duration = Duration::from_secs(60);
--- a/crates/pondlb-control-net/src/client/connection.rs
+++ b/crates/pondlb-control-net/src/client/connection.rs
@@ -13,7 +13,8 @@
 use crate::coding;
 use crate::http::encode_get_request;
 
-/// The timeout of a TCP handshake. TCP would retransmit a lost SYN only after a second; the next server responds sooner.
+/// The timeout of a TCP handshake. TCP would retransmit a lost SYN only after a second; the next server responds
+/// sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// If a reused connection fails sooner than this after a request, the server had closed it before the request arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
@@ -35,7 +36,8 @@
 
     /// Sends a GET request and returns the decoded content of the response, which may have at most `max_content_bytes`.
     ///
-    /// The idle connection is taken out for the exchange, so that it is closed if this future is dropped before its end.
+    /// The idle connection is taken out for the exchange, so that it is closed if this future is dropped before its
+    /// end.
     pub async fn get(
         &mut self,
         server: SocketAddr,
--- a/crates/pondlb-control-net/src/options.rs
+++ b/crates/pondlb-control-net/src/options.rs
@@ -37,8 +37,8 @@
 pub struct ServerOptions {
     /// The name in the log and in requests to the servers that it follows.
     pub name: String,
-    /// The number of a replica server. Replica servers with consecutive numbers are divided evenly among the servers that
-    /// they follow.
+    /// The number of a replica server. Replica servers with consecutive numbers are divided evenly among the servers
+    /// that they follow.
     pub follower_number: u64,
     /// The address for followers.
     pub listen_address: SocketAddr,
@@ -54,8 +54,8 @@
     pub memory_limit_mib: usize,
     /// The maximum rate of snapshot pages.
     pub snapshot_pages_per_second: f64,
-    /// How an origin validates records before it commits them. A replica server checks only their JSON types, because it
-    /// may be of an older version than the balancers that it serves.
+    /// How an origin validates records before it commits them. A replica server checks only their JSON types, because
+    /// it may be of an older version than the balancers that it serves.
     pub validate: ValidateRecord,
 }
 
--- a/crates/pondlb-control-net/src/server/connection.rs
+++ b/crates/pondlb-control-net/src/server/connection.rs
@@ -130,8 +130,8 @@
         timeout(REQUEST_READ_TIMEOUT, incoming).await.unwrap_or(Incoming::Closed)
     }
 
-    /// Returns when the peer closes the connection, or when it pipelines more bytes than are buffered. Bytes that arrive
-    /// before are kept for the next request.
+    /// Returns when the peer closes the connection, or when it pipelines more bytes than are buffered. Bytes that
+    /// arrive before are kept for the next request.
     async fn closed_by_peer(&mut self) {
         while let Ok(count @ 1..) = self.stream.read(self.reader.spare_capacity_mut()).await {
             self.reader.mark_filled(count);
--- a/crates/pondlb-control-net/src/server/state.rs
+++ b/crates/pondlb-control-net/src/server/state.rs
@@ -38,7 +38,7 @@
     responses: RefCell<ResponseCache>,
     version: watch::Sender<Version>,
     followers: RefCell<FollowerTable>,
-    snapshot_page_rate: RefCell<TokenBucket>,
+    snapshot_page_limiter: RefCell<TokenBucket>,
     /// The status of a replica server as a follower; `None` at the origin.
     follower_status: Option<Rc<client::FollowerStatus>>,
 }
@@ -56,7 +56,7 @@
             store: RefCell::new(store),
             responses: RefCell::default(),
             followers: RefCell::new(FollowerTable::new(options.max_follower_connections)),
-            snapshot_page_rate: RefCell::new(TokenBucket::new(
+            snapshot_page_limiter: RefCell::new(TokenBucket::new(
                 options.snapshot_pages_per_second,
                 Instant::now(),
             )),
@@ -116,11 +116,11 @@
         Ok(response)
     }
 
-    /// Reserves the next snapshot page within the rate limit and returns how long it has to wait. Returns `None` if that
-    /// is too long.
+    /// Reserves the next snapshot page within the rate limit and returns how long it has to wait. Returns `None` if
+    /// that is too long.
     pub fn reserve_snapshot_page(&self, is_first: bool) -> Option<Duration> {
         let max_wait = if is_first { FIRST_PAGE_MAX_WAIT } else { NEXT_PAGE_MAX_WAIT };
-        self.snapshot_page_rate.borrow_mut().reserve(Instant::now(), max_wait)
+        self.snapshot_page_limiter.borrow_mut().reserve(Instant::now(), max_wait)
     }
 
     /// Whether there is a bucket with this number.
--- a/crates/pondlb-control-net/src/server/token_bucket.rs
+++ b/crates/pondlb-control-net/src/server/token_bucket.rs
@@ -4,7 +4,8 @@
 
 use tokio::time::Instant;
 
-/// A token bucket that is refilled at a constant rate. Its capacity is the number of tokens of one second, at least one.
+/// A token bucket that is refilled at a constant rate. Its capacity is the number of tokens of one second, at least
+/// one.
 #[derive(Debug)]
 pub struct TokenBucket {
     tokens_per_second: f64,
--- a/crates/pondlb-control-net/tests/compression.rs
+++ b/crates/pondlb-control-net/tests/compression.rs
@@ -212,8 +212,8 @@
     ScriptedResponse { fields, body }
 }
 
-/// Starts a server with this number of upstreams that corrupts all of its responses, if a corruption is given, and counts
-/// the requests.
+/// Starts a server with this number of upstreams that corrupts all of its responses, if a corruption is given, and
+/// counts the requests.
 fn start_server(count: u64, corruption: Option<Corruption>, requests: Rc<Cell<u32>>) -> SocketAddr {
     let mut store = Store::new(7, Limits::default());
     store.commit(&upstreams(count), &validate_json_shape).unwrap();
--- a/crates/pondlb-control-net/tests/distribution.rs
+++ b/crates/pondlb-control-net/tests/distribution.rs
@@ -170,8 +170,8 @@
         };
         let follower = Follower::start_with(config);
         wait_until("the first complete state", || follower.len() == 10).await;
-        // More than 20 responses of 16 KiB. With the minimum interval of 200 ms between them, they would take longer than
-        // the limit below.
+        // More than 20 responses of 16 KiB. With the minimum interval of 200 ms between them, they would take longer
+        // than the limit below.
         origin.commit(&upstreams(6000)).await;
         let start = Instant::now();
         wait_until("all changes", || follower.len() == 6000).await;
