--- a/crates/pondlb-server/tests/helper/mod.rs
+++ b/crates/pondlb-server/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for all that the program speaks to, on loopback: upstreams, discovery, clients.
+//! Starts the balancer program and its peers on loopback sockets: test upstreams, a test discovery server and clients.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -12,29 +12,33 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-pub const SOON: Duration = Duration::from_secs(5);
+/// How long a test waits for an event before it fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One message as it came: its head, with lines ending in LF, and its body.
+/// An HTTP request or answer.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// The start line and the fields; lines end in LF.
     pub head: String,
     pub body: String,
 }
 
 impl Message {
+    /// The status code of an answer.
     pub fn status(&self) -> &str {
         self.head.split(' ').nth(1).unwrap_or_default()
     }
 
+    /// The value of the first field with this name.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
-            let (n, value) = line.split_once(':')?;
-            n.eq_ignore_ascii_case(name).then_some(value.trim())
+            let (field_name, value) = line.split_once(':')?;
+            field_name.eq_ignore_ascii_case(name).then_some(value.trim())
         })
     }
 }
 
-/// Reads one message with a Content-Length; None when the connection ends first.
+/// Reads one message, whose body has the length of its Content-Length field. `None` if the connection ends first.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -51,121 +55,136 @@
     Some(message)
 }
 
-/// What an upstream does with each request that it has read in full.
+/// What a test upstream does with each request that it has read in full.
 #[derive(Clone, Copy)]
-pub enum Habit {
-    /// These bytes, and the connection is kept.
-    Say(&'static str),
-    /// These bytes, and the connection is closed after so many milliseconds.
-    SayAndClose(&'static str, u64),
-    /// Nothing; the connection is reset.
+pub enum UpstreamBehavior {
+    /// Writes these bytes and keeps the connection.
+    Answer(&'static str),
+    /// Writes these bytes and closes the connection after a delay in milliseconds.
+    AnswerAndClose(&'static str, u64),
+    /// Resets the connection without an answer.
     Reset,
-    /// Nothing, until the other side closes.
+    /// Never answers; keeps the connection until the peer closes it.
     Silent,
-    /// What the test says, once it says so.
-    Told,
-    /// Nothing to who asks for its load, and else these bytes.
-    TellsNothing(&'static str),
+    /// Answers with the next text that the test sends to [`Upstream::answers`].
+    AnswerOnDemand,
+    /// Never answers load probes; writes these bytes for other requests.
+    IgnoreLoadProbes(&'static str),
 }
 
-pub const HELLO: Habit = Habit::Say("HTTP/1.1 200 OK\r\nX-Answer: yes\r\nContent-Length: 5\r\n\r\nhello");
+/// Answers 200 with the body "hello".
+pub const ANSWER_HELLO: UpstreamBehavior =
+    UpstreamBehavior::Answer("HTTP/1.1 200 OK\r\nX-Answer: yes\r\nContent-Length: 5\r\n\r\nhello");
 
+/// What a test upstream sees on its connections.
 #[derive(Debug)]
-pub enum Seen {
+pub enum UpstreamEvent {
     Connected,
     Request(Message),
     /// The balancer closed a connection.
     Closed,
 }
 
+/// A test upstream, which serves each connection in a thread of its own.
 pub struct Upstream {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
-    /// What one of habit `Told` answers next.
-    pub tell: Sender<&'static str>,
+    /// What the upstream saw and no test has taken yet.
+    pub events: Receiver<UpstreamEvent>,
+    /// Takes the texts that an upstream with [`UpstreamBehavior::AnswerOnDemand`] answers with.
+    pub answers: Sender<&'static str>,
 }
 
 impl Upstream {
-    pub fn start(habit: Habit) -> Upstream {
+    /// Starts an upstream that does the same with each request.
+    pub fn start(behavior: UpstreamBehavior) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = channel();
-        let (answer, answers) = channel();
-        let answers = Arc::new(Mutex::new(answers));
+        let (event_sender, events) = channel();
+        let (answers, answer_receiver) = channel();
+        let answer_receiver = Arc::new(Mutex::new(answer_receiver));
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (tell, answers) = (tell.clone(), answers.clone());
-                thread::spawn(move || Self::serve(stream.unwrap(), habit, &tell, &answers));
+                let (event_sender, answer_receiver) = (event_sender.clone(), answer_receiver.clone());
+                thread::spawn(move || {
+                    Self::serve(stream.unwrap(), behavior, &event_sender, &answer_receiver)
+                });
             }
         });
-        Upstream { address, seen, tell: answer }
+        Upstream { address, events, answers }
     }
 
     fn serve(
         mut stream: TcpStream,
-        habit: Habit,
-        tell: &Sender<Seen>,
-        answers: &Mutex<Receiver<&'static str>>,
+        behavior: UpstreamBehavior,
+        event_sender: &Sender<UpstreamEvent>,
+        answer_receiver: &Mutex<Receiver<&'static str>>,
     ) {
-        let _over = tell.send(Seen::Connected);
+        let _test_ended = event_sender.send(UpstreamEvent::Connected);
         while let Some(request) = read_message(&mut stream) {
-            let asks = request.head.starts_with("GET /load ");
-            let _over = tell.send(Seen::Request(request));
-            match habit {
-                Habit::TellsNothing(_) if asks => {}
-                Habit::TellsNothing(text) | Habit::Say(text) => drop(stream.write_all(text.as_bytes())),
-                Habit::SayAndClose(text, ms) => {
-                    let _over = stream.write_all(text.as_bytes());
-                    thread::sleep(Duration::from_millis(ms));
+            let is_load_probe = request.head.starts_with("GET /load ");
+            let _test_ended = event_sender.send(UpstreamEvent::Request(request));
+            match behavior {
+                UpstreamBehavior::IgnoreLoadProbes(_) if is_load_probe => {}
+                UpstreamBehavior::IgnoreLoadProbes(text) | UpstreamBehavior::Answer(text) => {
+                    drop(stream.write_all(text.as_bytes()))
+                }
+                UpstreamBehavior::AnswerAndClose(text, delay_ms) => {
+                    let _closed = stream.write_all(text.as_bytes());
+                    thread::sleep(Duration::from_millis(delay_ms));
                     return;
                 }
-                Habit::Reset => {
+                UpstreamBehavior::Reset => {
                     let socket = SockRef::from(&stream);
                     return socket.set_linger(Some(Duration::ZERO)).unwrap();
                 }
-                Habit::Silent => {}
-                Habit::Told => {
-                    let Ok(answer) = answers.lock().unwrap().recv() else { return };
-                    let _over = stream.write_all(answer.as_bytes());
+                UpstreamBehavior::Silent => {}
+                UpstreamBehavior::AnswerOnDemand => {
+                    let Ok(answer) = answer_receiver.lock().unwrap().recv() else { return };
+                    let _closed = stream.write_all(answer.as_bytes());
                 }
             }
         }
-        let _over = tell.send(Seen::Closed);
+        let _test_ended = event_sender.send(UpstreamEvent::Closed);
     }
 
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(SOON).expect("the upstream sees something soon")
+    /// Takes the next event; fails the test if there is none within [`WAIT_TIMEOUT`].
+    pub fn next_event(&self) -> UpstreamEvent {
+        self.events.recv_timeout(WAIT_TIMEOUT).expect("the upstream sees an event within the timeout")
     }
 
-    /// The ids of the requests seen so far, or the heads of those without.
-    pub fn asked(&self) -> Vec<String> {
-        let requests = self.requests().into_iter();
+    /// Takes all events so far and returns the ids of their requests, or the head of a request without an id.
+    pub fn take_request_ids(&self) -> Vec<String> {
+        let requests = self.take_requests().into_iter();
         requests.map(|request| request.field("Req-Id").unwrap_or(&request.head).into()).collect()
     }
 
-    /// The requests seen so far.
-    pub fn requests(&self) -> Vec<Message> {
-        let requests = self.seen.try_iter();
-        requests.filter_map(|seen| if let Seen::Request(r) = seen { Some(r) } else { None }).collect()
+    /// Takes all events so far and returns their requests.
+    pub fn take_requests(&self) -> Vec<Message> {
+        let requests = self.events.try_iter().filter_map(|event| match event {
+            UpstreamEvent::Request(request) => Some(request),
+            _ => None,
+        });
+        requests.collect()
     }
 }
 
-/// An address that refuses connections. It stays bound, or another test's stand-in could be given it.
-pub fn nobody() -> SocketAddr {
-    let (socket, address) = bound();
+/// An address that refuses connections. Its socket stays bound for as long as the process runs, so that the system
+/// gives the address to no listener of another test.
+pub fn refusing_address() -> SocketAddr {
+    let (socket, address) = bound_socket();
     std::mem::forget(socket);
     address
 }
 
-/// An address that refuses connections until its socket is told to listen.
-pub fn bound() -> (Socket, SocketAddr) {
+/// A bound socket, whose address refuses connections until [`start_listening`] is called.
+pub fn bound_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, address)
 }
 
-/// The next connection, which comes soon or never.
+/// Accepts the next connection; fails the test if there is none within [`WAIT_TIMEOUT`].
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let start = Instant::now();
@@ -173,31 +192,33 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).unwrap();
-                stream.set_read_timeout(Some(SOON)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 return stream;
             }
-            Err(_) => assert!(start.elapsed() < SOON, "a connection comes soon"),
+            Err(_) => assert!(start.elapsed() < WAIT_TIMEOUT, "a connection arrives within the timeout"),
         }
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Who was not there is back.
-pub fn listens(socket: Socket) -> TcpListener {
+/// Lets a bound socket accept connections from now on.
+pub fn start_listening(socket: Socket) -> TcpListener {
     socket.listen(64).unwrap();
     socket.into()
 }
 
-/// Takes no connection and refuses none: its waiting room is full, as a machine cut off would look.
-pub struct Mute {
+/// A listener that neither accepts nor refuses connections, because its accept backlog is full. To a client it looks
+/// like a machine that the network no longer reaches.
+pub struct FullBacklogListener {
     pub address: SocketAddr,
     listener: Socket,
+    /// Connections that fill the backlog.
     fillers: Vec<Socket>,
 }
 
-impl Mute {
-    /// It takes connections from now on. One that was dialled before comes up when the system next tries, a second
-    /// after the first time.
+impl FullBacklogListener {
+    /// Accepts connections from now on. A connection that a client began before is established when the client's system
+    /// sends its next SYN, one second after the first.
     pub fn open(self) -> TcpListener {
         drop(self.fillers);
         let listener: TcpListener = self.listener.into();
@@ -206,49 +227,59 @@
     }
 }
 
-pub fn mute() -> Mute {
-    let new = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    let listener = new();
+/// Starts a [`FullBacklogListener`].
+pub fn full_backlog_listener() -> FullBacklogListener {
+    let new_socket = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    let listener = new_socket();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
     let address = listener.local_addr().unwrap();
-    let fillers: Vec<Socket> = (0..4).map(|_| new()).collect();
+    let fillers: Vec<Socket> = (0..4).map(|_| new_socket()).collect();
     for filler in &fillers {
         filler.set_nonblocking(true).unwrap();
-        let _under_way = filler.connect(&address);
+        let _in_progress = filler.connect(&address);
     }
-    Mute { address: address.as_socket().unwrap(), listener, fillers }
+    FullBacklogListener { address: address.as_socket().unwrap(), listener, fillers }
+}
+
+/// A call that the test discovery server has received.
+pub struct DiscoveryCall {
+    pub request_line: String,
+    pub received_at: Instant,
 }
 
-/// Discovery's state: what it answers to the next call, and when calls came and were answered.
+/// The state of a test discovery server.
 #[derive(Default)]
-pub struct Told {
-    pub answer: Option<String>,
-    pub calls: Vec<(String, Instant)>,
-    pub answered: Vec<Instant>,
+pub struct DiscoveryState {
+    /// The answer to the call that waits, or to the next one.
+    pub next_answer: Option<String>,
+    pub calls: Vec<DiscoveryCall>,
+    /// When each call was answered.
+    pub answered_at: Vec<Instant>,
 }
 
+/// A test discovery server that holds each call until the test provides its answer.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub told: Arc<Mutex<Told>>,
+    pub state: Arc<Mutex<DiscoveryState>>,
 }
 
 impl Discovery {
-    /// Calls wait until there is an answer to give.
     pub fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let told = Arc::new(Mutex::new(Told::default()));
-        let shared = told.clone();
+        let state = Arc::new(Mutex::new(DiscoveryState::default()));
+        let shared_state = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (told, mut stream) = (shared.clone(), stream.unwrap());
+                let (state, mut stream) = (shared_state.clone(), stream.unwrap());
                 thread::spawn(move || {
                     while let Some(call) = read_message(&mut stream) {
-                        let line = call.head.lines().next().unwrap_or_default().to_string();
-                        told.lock().unwrap().calls.push((line, Instant::now()));
+                        let request_line = call.head.lines().next().unwrap_or_default().to_string();
+                        let call = DiscoveryCall { request_line, received_at: Instant::now() };
+                        state.lock().unwrap().calls.push(call);
                         let answer = loop {
-                            if let Some(answer) = told.lock().unwrap().answer.take() {
+                            if let Some(answer) = state.lock().unwrap().next_answer.take() {
                                 break answer;
                             }
                             thread::sleep(Duration::from_millis(5));
@@ -256,35 +287,38 @@
                         if stream.write_all(answer.as_bytes()).is_err() {
                             return;
                         }
-                        told.lock().unwrap().answered.push(Instant::now());
+                        state.lock().unwrap().answered_at.push(Instant::now());
                     }
                 });
             }
         });
-        Discovery { address, told }
+        Discovery { address, state }
     }
 
-    /// What the call that waits, or the next one, is answered.
-    pub fn answer(&self, bytes: &str) {
-        self.told.lock().unwrap().answer = Some(bytes.into());
-        wait_until("discovery is called", || self.told.lock().unwrap().answer.is_none());
+    /// Answers the call that waits, or the next one, with these bytes. Returns once a call has taken them.
+    pub fn answer_call(&self, bytes: &str) {
+        self.state.lock().unwrap().next_answer = Some(bytes.into());
+        wait_until("discovery is called", || self.state.lock().unwrap().next_answer.is_none());
     }
 
-    pub fn list(&self, list: &str) {
-        self.answer(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+    /// Answers the call that waits, or the next one, with a list of upstreams.
+    pub fn answer_with_list(&self, list: &str) {
+        self.answer_call(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
     }
 }
 
-pub fn wait_until(what: &str, done: impl Fn() -> bool) {
+/// Polls a condition until it holds; fails the test after [`WAIT_TIMEOUT`].
+pub fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
     let start = Instant::now();
-    while !done() {
-        assert!(start.elapsed() < SOON, "{what} soon");
+    while !is_met() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {condition}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A list in discovery's form: upstreams named by their ports, all in this state.
-pub fn upstream_list(version: u64, whole: bool, state: &str, addresses: &[SocketAddr]) -> String {
+/// A list in discovery's format. The upstreams are named by their ports and are all in the same state. A list that is
+/// not full holds only changes.
+pub fn upstream_list(version: u64, is_full: bool, state: &str, addresses: &[SocketAddr]) -> String {
     let mut targets = String::new();
     for (n, address) in addresses.iter().enumerate() {
         let comma = if n > 0 { "," } else { "" };
@@ -296,10 +330,10 @@
         )
         .unwrap();
     }
-    format!(r#"{{"rev":{version},"all":{whole},"targets":[{targets}]}}"#)
+    format!(r#"{{"rev":{version},"all":{is_full},"targets":[{targets}]}}"#)
 }
 
-/// A whole list of many upstreams, each by its number and where it is.
+/// A full list of many upstreams, each given by its number and address.
 pub fn long_upstream_list(version: u64, upstreams: impl Iterator<Item = (usize, SocketAddr)>) -> String {
     let targets = upstreams.map(|(n, address)| {
         format!(
@@ -310,32 +344,49 @@
     format!(r#"{{"rev":{version},"all":true,"targets":[{}]}}"#, targets.join(","))
 }
 
-/// How the program is started; what a test does not name is as below.
-pub struct Plan {
+/// How the program is started.
+pub struct BalancerOptions {
+    /// The upstreams of the configuration's known list, which is used until a newer list arrives.
     pub known: Vec<SocketAddr>,
+    /// The address of the discovery server.
     pub discovery: SocketAddr,
+    /// The setting `limits.memory_mb`.
     pub memory_mb: u64,
+    /// The setting `limits.sockets`, which bounds the connections.
     pub sockets: u64,
-    pub idle_ms: u64,
-    pub descriptors: u64,
-    pub list: &'static str,
-    /// Control servers to follow in place of discovery.
-    pub control: Option<Vec<String>>,
-}
-
-impl Plan {
-    pub fn with(upstreams: &[&Upstream]) -> Plan {
+    /// The setting `ConnIdleNs`, in milliseconds: how long a connection to an upstream may stay idle.
+    pub conn_idle_ms: u64,
+    /// The process's limit of open file descriptors.
+    pub max_descriptors: u64,
+    /// The setting `Discovery`: how the simulator delivers lists.
+    pub discovery_mode: &'static str,
+    /// The addresses of control servers to follow in place of discovery.
+    pub control_servers: Option<Vec<String>>,
+}
+
+impl BalancerOptions {
+    /// The defaults, with these upstreams in the known list and a discovery server that cannot be reached.
+    pub fn new(upstreams: &[&Upstream]) -> BalancerOptions {
         let known = upstreams.iter().map(|upstream| upstream.address).collect();
-        let (discovery, list, idle_ms, descriptors) = (nobody(), "ask", 15_000, 1024);
-        Plan { known, discovery, memory_mb: 192, sockets: 1024, idle_ms, descriptors, list, control: None }
+        BalancerOptions {
+            known,
+            discovery: refusing_address(),
+            memory_mb: 192,
+            sockets: 1024,
+            conn_idle_ms: 15_000,
+            max_descriptors: 1024,
+            discovery_mode: "ask",
+            control_servers: None,
+        }
     }
 
+    /// The text of the configuration file.
     pub fn configuration(&self) -> String {
-        let sources = match &self.control {
+        let sources = match &self.control_servers {
             Some(servers) => format!(r#""control":{{"servers":{servers:?},"hold_ms":300}}"#),
             None => format!(r#""discovery":"{}""#, self.discovery),
         };
-        let Plan { memory_mb, sockets, idle_ms, list, .. } = self;
+        let BalancerOptions { memory_mb, sockets, conn_idle_ms, discovery_mode, .. } = self;
         let known = upstream_list(0, true, "active", &self.known);
         let class = |name: &str, effect: &str| {
             format!(
@@ -346,9 +397,9 @@
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0",{sources},"seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{sockets}}},"known":{known},"settings":{{
-            "Balancers":1,"SelfIndex":0,"Discovery":"{list}","ExcessValue":0.1,"MyZone":0,"Zones":["a"],
+            "Balancers":1,"SelfIndex":0,"Discovery":"{discovery_mode}","ExcessValue":0.1,"MyZone":0,"Zones":["a"],
             "MachineTypes":["m1"],"Reporting":{{"Fields":["lat_ms","rif"]}},
-            "Limits":{{"Cancelling":true,"ConnIdleNs":{idle_ms}000000,"DialTimeoutNs":250000000,"MaxOpen":20000,
+            "Limits":{{"Cancelling":true,"ConnIdleNs":{conn_idle_ms}000000,"DialTimeoutNs":250000000,"MaxOpen":20000,
             "MaxPostings":3,"MaxRetryAfterNs":2000000000,"RetryAfter":true,"SecondCopies":true}},
             "Rules":{{"ColdShare":0.3,"DrainGraceNs":500000000,"FallMultiple":4.0,"FallNs":2000000000,
             "MustAskInNs":10000000000,"WarmWithinNs":8900000000}},
@@ -358,31 +409,34 @@
         )
     }
 
+    /// Starts the program with [`BalancerOptions::configuration`].
     pub fn start(&self) -> Balancer {
         self.start_with(&self.configuration())
     }
 
+    /// Starts the program with another configuration and waits until it listens.
     pub fn start_with(&self, configuration: &str) -> Balancer {
-        let file = place(configuration);
-        let (mut child, log) = launch(&file, self.descriptors);
-        let mut log = BufReader::new(log).lines();
+        let file = write_configuration(configuration);
+        let (mut child, log) = launch(&file, self.max_descriptors);
+        let mut log_lines = BufReader::new(log).lines();
         let address = loop {
-            let line = log.next().expect("the program says where it listens").unwrap();
+            let line = log_lines.next().expect("the program logs the address that it listens on").unwrap();
             if let Some((_, rest)) = line.split_once("listens on ") {
                 break rest.split(": ").next().unwrap().parse().unwrap();
             }
         };
-        let drained = thread::spawn(move || log.map_while(Result::ok).collect::<Vec<_>>().join("\n"));
+        let log_reader =
+            thread::spawn(move || log_lines.map_while(Result::ok).collect::<Vec<_>>().join("\n"));
         assert!(child.try_wait().unwrap().is_none());
-        Balancer { child, file, address, drained: Some(drained) }
+        Balancer { child, file, address, log_reader: Some(log_reader) }
     }
 }
 
-/// Writes a configuration to a file of its own.
-pub fn place(configuration: &str) -> PathBuf {
-    static NEXT: Mutex<u32> = Mutex::new(0);
+/// Writes a configuration to a new file.
+pub fn write_configuration(configuration: &str) -> PathBuf {
+    static NEXT_FILE_NUMBER: Mutex<u32> = Mutex::new(0);
     let number = {
-        let mut next = NEXT.lock().unwrap();
+        let mut next = NEXT_FILE_NUMBER.lock().unwrap();
         *next += 1;
         *next
     };
@@ -392,11 +446,11 @@
     path
 }
 
-/// Starts the program under a limit of descriptors; its log comes back as it is written.
-pub fn launch(file: &Path, descriptors: u64) -> (Child, impl Read + Send + use<>) {
+/// Starts the program with a limit of open file descriptors. Returns the process and a reader of its log.
+pub fn launch(file: &Path, max_descriptors: u64) -> (Child, impl Read + Send + use<>) {
     let program = env!("CARGO_BIN_EXE_pondlb-server");
     let mut child = Command::new("/bin/sh")
-        .args(["-c", &format!("ulimit -n {descriptors}; exec {program}")])
+        .args(["-c", &format!("ulimit -n {max_descriptors}; exec {program}")])
         .env_clear()
         .env("RELAY_CONFIG", file)
         .stderr(Stdio::piped())
@@ -406,102 +460,111 @@
     (child, log)
 }
 
+/// A running balancer process, which is killed when this is dropped.
 pub struct Balancer {
     child: Child,
+    /// The configuration file.
     file: PathBuf,
     pub address: SocketAddr,
-    drained: Option<thread::JoinHandle<String>>,
+    /// Collects the log that is written after the start.
+    log_reader: Option<thread::JoinHandle<String>>,
 }
 
 impl Balancer {
-    pub fn client(&self) -> Client {
+    /// Opens a client connection.
+    pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(SOON)).unwrap();
-        Client(stream)
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        Client { stream }
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, id: &str, class: &str) -> Message {
-        self.client().ask(id, class)
+    /// Sends one request on a new connection and returns its answer.
+    pub fn request(&self, id: &str, class: &str) -> Message {
+        self.connect().request(id, class)
     }
 
-    pub fn health(&self) -> String {
-        let mut client = self.client();
+    /// The status code of the health check.
+    pub fn health_status(&self) -> String {
+        let mut client = self.connect();
         client.send("GET /_health HTTP/1.1\r\nHost: b\r\n\r\n");
-        client.read().expect("health is answered").status().into()
+        client.read().expect("the health check is answered").status().into()
     }
 
-    /// The configuration becomes another, and the program is told to read it.
+    /// Replaces the configuration file and sends SIGHUP, at which the program reloads it.
     pub fn reconfigure(&self, configuration: &str) {
         std::fs::write(&self.file, configuration).unwrap();
         self.signal("HUP");
     }
 
+    /// Sends a signal, given by its name without SIG.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        let killed = Command::new("/bin/sh").args(["-c", &kill]).status().unwrap();
-        assert!(killed.success());
+        let status = Command::new("/bin/sh").args(["-c", &kill]).status().unwrap();
+        assert!(status.success());
     }
 
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// How it ended, and all that it wrote to its log since it listened.
-    pub fn ended(mut self) -> (ExitStatus, String) {
+    /// Waits until the process exits. Returns its exit status and all that it logged after it began to listen.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
         let status = self.child.wait().unwrap();
-        (status, self.drained.take().unwrap().join().unwrap())
+        (status, self.log_reader.take().unwrap().join().unwrap())
     }
 
-    /// Told to end it does so in order, and its log has all these words.
-    pub fn ends_having_said(self, words: &[&str]) {
+    /// Sends SIGTERM; the program has to exit with success, and its log has to contain all these texts.
+    pub fn terminate_and_expect_log(self, expected: &[&str]) {
         self.signal("TERM");
-        let (status, log) = self.ended();
+        let (status, log) = self.wait_for_exit();
         assert!(status.success());
-        words.iter().for_each(|word| assert!(log.contains(word), "{word}: {log}"));
+        expected.iter().for_each(|text| assert!(log.contains(text), "{text}: {log}"));
     }
 
-    /// The most memory that it has held.
-    pub fn peak_kb(&self) -> u64 {
+    /// The process's peak resident memory, in KiB.
+    pub fn peak_resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    /// Processor time used, in ticks of the system's clock.
-    pub fn ticks(&self) -> u64 {
+    /// The processor time that the process has used, in clock ticks of the system.
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 }
 
-/// Time as a program and its client have it: without that for which the balancer or the test could run and was given no
-/// processor. On a machine at rest that is nothing.
+/// Measures elapsed time without the time that the balancer or the test was ready to run and waited for a processor, so
+/// that bounds on it also hold on a busy machine. On an idle machine it measures the plain elapsed time.
 pub struct Stopwatch<'a> {
     balancer: &'a Balancer,
     start: Instant,
-    waited: Duration,
+    processor_wait_at_start: Duration,
 }
 
 impl Stopwatch<'_> {
     pub fn start(balancer: &Balancer) -> Stopwatch<'_> {
-        Stopwatch { balancer, start: Instant::now(), waited: Self::waited(balancer) }
+        Stopwatch { balancer, start: Instant::now(), processor_wait_at_start: Self::processor_wait(balancer) }
     }
 
+    /// The time since the start, without waits for a processor.
     pub fn elapsed(&self) -> Duration {
         let elapsed = self.start.elapsed();
-        elapsed.saturating_sub(Self::waited(self.balancer) - self.waited)
+        elapsed.saturating_sub(Self::processor_wait(self.balancer) - self.processor_wait_at_start)
     }
 
-    /// How long the balancer, which has one thread, and this thread have waited for a processor since they began.
-    fn waited(balancer: &Balancer) -> Duration {
-        processor_wait(&balancer.child.id().to_string()) + processor_wait("thread-self")
+    /// How long the balancer, which has one thread, and this thread have waited for a processor since they were
+    /// started.
+    fn processor_wait(balancer: &Balancer) -> Duration {
+        run_queue_wait(&balancer.child.id().to_string()) + run_queue_wait("thread-self")
     }
 }
 
-/// The second number of the kernel's `schedstat`; where it keeps none, nobody is taken to wait.
-fn processor_wait(process: &str) -> Duration {
+/// The time that a process has waited on a run queue: the second number of its `schedstat`, or zero where the kernel
+/// keeps no such statistics.
+fn run_queue_wait(process: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
     let nanoseconds = stat.split_whitespace().nth(1).map_or(0, |number| number.parse().unwrap());
     Duration::from_nanos(nanoseconds)
@@ -509,86 +572,94 @@
 
 impl Drop for Balancer {
     fn drop(&mut self) {
-        let _ended = self.child.kill();
+        let _exited = self.child.kill();
         let _reaped = self.child.wait();
     }
 }
 
-/// Whether the other side has ended this connection, on which nothing is unread.
-pub fn has_ended(stream: &TcpStream) -> bool {
+/// Whether the peer has closed this connection, on which nothing must be unread.
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
-    let ended = matches!(stream.peek(&mut [0]), Ok(0));
+    let is_closed = matches!(stream.peek(&mut [0]), Ok(0));
     stream.set_nonblocking(false).unwrap();
-    ended
+    is_closed
 }
 
-/// Waits until the other side ends this connection, whatever is unread on it. Tells a moment before that end, however
-/// late the test hears of it: the last at which the connection was still seen to stand.
-pub fn wait_for_end(stream: &TcpStream) -> Instant {
-    let own = stream.try_clone().unwrap();
-    own.set_nonblocking(true).unwrap();
+/// Waits until the peer closes this connection, on which bytes may be unread. Returns the last instant at which the
+/// connection was seen open, which precedes the close however late the test notices it.
+pub fn wait_for_close(stream: &TcpStream) -> Instant {
+    let clone = stream.try_clone().unwrap();
+    clone.set_nonblocking(true).unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let stood_at = runtime.block_on(async {
-        let watched = tokio::net::TcpStream::from_std(own).unwrap();
+    let last_seen_open = runtime.block_on(async {
+        let watched = tokio::net::TcpStream::from_std(clone).unwrap();
         let start = Instant::now();
-        let mut stood_at = start;
+        let mut last_seen_open = start;
         loop {
-            let looked_at = Instant::now();
-            // What is unread makes it readable; of this interest only the end is told.
-            let end = tokio::time::timeout(WATCH_STEP, watched.ready(tokio::io::Interest::PRIORITY)).await;
-            if end.is_ok_and(|ready| ready.unwrap().is_read_closed()) {
-                return stood_at;
+            let checked_at = Instant::now();
+            // Unread bytes would complete an interest in reading at once; with this interest only the close is
+            // reported.
+            let readiness =
+                tokio::time::timeout(CLOSE_POLL_INTERVAL, watched.ready(tokio::io::Interest::PRIORITY)).await;
+            if readiness.is_ok_and(|ready| ready.unwrap().is_read_closed()) {
+                return last_seen_open;
             }
-            assert!(start.elapsed() < SOON, "the other side ends the connection soon");
-            stood_at = looked_at;
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the peer closes the connection within the timeout");
+            last_seen_open = checked_at;
         }
     });
     stream.set_nonblocking(false).unwrap();
-    stood_at
+    last_seen_open
 }
 
-/// How long a connection is watched for its end at a time.
-const WATCH_STEP: Duration = Duration::from_millis(1);
+/// How often [`wait_for_close`] checks that the connection is still open.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-pub struct Client(pub TcpStream);
+/// A client connection to a balancer or a control server.
+pub struct Client {
+    pub stream: TcpStream,
+}
 
 impl Client {
     pub fn send(&mut self, text: &str) {
-        self.0.write_all(text.as_bytes()).unwrap();
+        self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next answer; None when the connection ends before it is whole.
+    /// Reads the next answer. `None` if the connection ends before it is complete.
     pub fn read(&mut self) -> Option<Message> {
-        read_message(&mut self.0)
+        read_message(&mut self.stream)
     }
 
-    pub fn request(id: &str, class: &str, left_ms: u64) -> String {
+    /// The text of a request whose deadline is so many milliseconds away.
+    pub fn request_text(id: &str, class: &str, deadline_ms: u64) -> String {
         format!(
             "POST /api?x=1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\n\
-             Req-Deadline: {left_ms}m\r\nContent-Length: 4\r\n\r\nwork"
+             Req-Deadline: {deadline_ms}m\r\nContent-Length: 4\r\n\r\nwork"
         )
     }
 
-    pub fn ask(&mut self, id: &str, class: &str) -> Message {
-        self.send(&Client::request(id, class, 2000));
-        self.read().expect("an answer comes")
+    /// Sends a request with a deadline of two seconds and returns its answer.
+    pub fn request(&mut self, id: &str, class: &str) -> Message {
+        self.send(&Client::request_text(id, class, 2000));
+        self.read().expect("an answer")
     }
 
-    /// Whether a request of so much time gets its answer: not if the connection ends first.
-    pub fn try_ask(&mut self, id: &str, left_ms: u64) -> bool {
-        self.0.write_all(Client::request(id, "order", left_ms).as_bytes()).is_ok() && self.read().is_some()
+    /// Sends a request with this deadline. Returns false if the connection ends before its answer.
+    pub fn try_request(&mut self, id: &str, deadline_ms: u64) -> bool {
+        self.stream.write_all(Client::request_text(id, "order", deadline_ms).as_bytes()).is_ok()
+            && self.read().is_some()
     }
 
-    /// Whether nothing has come by now, neither an answer nor an end.
-    pub fn hears_nothing(&self) -> bool {
-        self.0.set_nonblocking(true).unwrap();
-        let come = self.0.peek(&mut [0]);
-        self.0.set_nonblocking(false).unwrap();
-        come.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
+    /// Whether neither an answer nor the end of the connection has arrived so far.
+    pub fn has_received_nothing(&self) -> bool {
+        self.stream.set_nonblocking(true).unwrap();
+        let peeked = self.stream.peek(&mut [0]);
+        self.stream.set_nonblocking(false).unwrap();
+        peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the balancer has closed this connection, or does so soon.
-    pub fn is_closed(&mut self) -> bool {
-        matches!(self.0.read(&mut [0]), Ok(0))
+    /// Whether the balancer closes this connection within [`WAIT_TIMEOUT`], with no further byte.
+    pub fn closes_within_timeout(&mut self) -> bool {
+        matches!(self.stream.read(&mut [0]), Ok(0))
     }
 }
--- a/crates/pondlb-server/tests/races/mod.rs
+++ b/crates/pondlb-server/tests/races/mod.rs
@@ -1,5 +1,5 @@
-//! Events that cross, on real connections: a stand-in peer holds one back until the other has happened, so that the
-//! bad order comes every time. docs/races.md has a row for each.
+//! Race conditions on real connections: a test peer holds one event back until the other has happened, so that the
+//! harmful order occurs every time. docs/races.md has a row for each.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -11,85 +11,86 @@
 use super::MS;
 use crate::helper::*;
 
-/// The plan's configuration for one of so many balancers.
-fn of_many(plan: &Plan, balancers: u32) -> String {
-    plan.configuration().replace("\"Balancers\":1,", &format!("\"Balancers\":{balancers},"))
+/// The configuration of a balancer in a fleet of this size.
+fn with_fleet_size(options: &BalancerOptions, balancers: u32) -> String {
+    options.configuration().replace("\"Balancers\":1,", &format!("\"Balancers\":{balancers},"))
 }
 
-/// The danger is a change that counts as told six seconds after discovery had it, whatever became of the call that it
-/// should have come by.
+/// A change counts as announced six seconds after discovery had it, whatever became of the call that should have
+/// returned it. Guards against a balancer that waits longer on a call that is never answered.
 #[test]
-fn what_a_silent_watch_missed_is_asked_for_within_six_seconds_at_any_fleet_size() {
-    let upstream = Upstream::start(HELLO);
+fn an_unanswered_watch_call_is_replaced_within_6_s_in_a_large_fleet() {
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start_with(&of_many(&plan, 300));
-    discovery.list(&upstream_list(2, false, "active", &[upstream.address]));
-    // The stand-in reads the next call and says nothing.
-    let calls = || discovery.told.lock().unwrap().calls.len();
-    wait_until("the watch goes on", || calls() == 2);
-    let silent = Instant::now();
-    while calls() < 3 {
-        assert!(silent.elapsed() < 6000 * MS, "the silent watch still stands");
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start_with(&with_fleet_size(&options, 300));
+    discovery.answer_with_list(&upstream_list(2, false, "active", &[upstream.address]));
+    // The test discovery reads the next call and does not answer it.
+    let call_count = || discovery.state.lock().unwrap().calls.len();
+    wait_until("the watch continues", || call_count() == 2);
+    let silent_since = Instant::now();
+    while call_count() < 3 {
+        assert!(silent_since.elapsed() < 6000 * MS, "the balancer still waits for the unanswered call");
         sleep(10 * MS);
     }
     drop(balancer);
 }
 
-/// The danger is a discovery that is back and not asked, because it was down for long.
+/// Guards against a retry delay that has grown so long in an outage that a recovered discovery is not called in time.
 #[test]
-fn a_discovery_that_is_back_is_asked_within_four_seconds_however_long_it_was_down() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    let (socket, address) = bound();
-    plan.discovery = address;
-    let balancer = plan.start_with(&of_many(&plan, 300));
+fn a_recovered_discovery_is_called_within_4_s_after_a_long_outage() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    let (socket, address) = bound_socket();
+    options.discovery = address;
+    let balancer = options.start_with(&with_fleet_size(&options, 300));
     sleep(13_000 * MS);
-    let listener = listens(socket);
-    let back = Instant::now();
+    let listener = start_listening(socket);
+    let recovered = Instant::now();
     let mut call = accept(&listener);
     assert!(read_message(&mut call).unwrap().head.contains("/catalog/members?from=0&"));
-    assert!(back.elapsed() < 4100 * MS, "asked after {:?}", back.elapsed());
+    assert!(recovered.elapsed() < 4100 * MS, "called after {:?}", recovered.elapsed());
     let list = upstream_list(2, false, "leaving", &[upstream.address]);
     write!(call, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).unwrap();
-    read_message(&mut call).expect("the watch goes on");
-    assert_eq!(balancer.ask("a1", "order").status(), "503", "the only upstream leaves");
-    assert_eq!(upstream.requests().len(), 0);
+    read_message(&mut call).expect("the watch continues");
+    assert_eq!(balancer.request("a1", "order").status(), "503", "the only upstream drains");
+    assert_eq!(upstream.take_requests().len(), 0);
 }
 
-/// A new configuration's discovery must be asked again soon though its first call was refused: what it has counts as
-/// told four seconds after the signal.
+/// What the discovery of a new configuration has counts as announced four seconds after SIGHUP, so it must be called
+/// again soon if the first call to it is refused.
 #[test]
-fn a_first_call_that_is_refused_after_a_new_configuration_is_made_again_in_time() {
-    let upstream = Upstream::start(HELLO);
+fn a_refused_first_call_after_a_reload_is_retried_within_2_s() {
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
-    wait_until("the watch stands", || !discovery.told.lock().unwrap().calls.is_empty());
-    let (socket, address) = bound();
-    plan.discovery = address;
-    balancer.reconfigure(&plan.configuration());
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
+    wait_until("a watch call is pending", || !discovery.state.lock().unwrap().calls.is_empty());
+    let (socket, address) = bound_socket();
+    options.discovery = address;
+    balancer.reconfigure(&options.configuration());
     let signalled = Instant::now();
-    // By then the first call has been refused: nobody listens.
+    // By then the first call has been refused, because the socket does not listen yet.
     sleep(300 * MS);
-    let mut call = accept(&listens(socket));
+    let mut call = accept(&start_listening(socket));
     assert!(read_message(&mut call).unwrap().head.starts_with("GET /catalog/members HTTP"));
     assert!(signalled.elapsed() < 2000 * MS, "{:?}", signalled.elapsed());
 }
 
-/// No cancelling of what has begun, and time for a connection to come up late.
-fn patient(plan: &Plan) -> String {
-    let slow = plan.configuration().replace("\"DialTimeoutNs\":250000000", "\"DialTimeoutNs\":3000000000");
-    let slow = slow.replace("\"DrainGraceNs\":500000000", "\"DrainGraceNs\":6000000000");
-    slow.replace("\"Cancelling\":true", "\"Cancelling\":false")
+/// The configuration without cancelling of attempts, and with enough time for a connection that is established late.
+fn without_cancelling(options: &BalancerOptions) -> String {
+    let text = options.configuration().replace("\"DialTimeoutNs\":250000000", "\"DialTimeoutNs\":3000000000");
+    let text = text.replace("\"DrainGraceNs\":500000000", "\"DrainGraceNs\":6000000000");
+    text.replace("\"Cancelling\":true", "\"Cancelling\":false")
 }
 
-/// The beginning of what is written on the connections that come up once the listener is opened, if anything is.
-fn seen_when_opened(mute: Mute) -> Option<String> {
+/// Opens the listener and returns the first bytes that are written on the connections that are established then, or
+/// `None` if there are none.
+fn first_bytes_after_opening(unresponsive: FullBacklogListener) -> Option<String> {
     let opened = Instant::now();
-    let listener = mute.open();
+    let listener = unresponsive.open();
     listener.set_nonblocking(true).unwrap();
     let mut streams = Vec::new();
     while opened.elapsed() < 2500 * MS {
@@ -109,138 +110,145 @@
     None
 }
 
-/// The danger is work that begins for nobody: the connection comes up after the client has gone.
+/// Guards against work that no client waits for: the connection is established after the client has left.
 #[test]
-fn a_client_that_leaves_while_its_attempt_is_dialling_is_not_sent_on() {
-    let upstream = mute();
-    let mut plan = Plan::with(&[]);
-    plan.known.push(upstream.address);
-    let balancer = plan.start_with(&patient(&plan));
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "order", 1900));
+fn a_request_whose_client_leaves_while_connecting_is_not_sent() {
+    let upstream = full_backlog_listener();
+    let mut options = BalancerOptions::new(&[]);
+    options.known.push(upstream.address);
+    let balancer = options.start_with(&without_cancelling(&options));
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "order", 1900));
     sleep(50 * MS);
     drop(client);
-    assert_eq!(seen_when_opened(upstream), None);
+    assert_eq!(first_bytes_after_opening(upstream), None);
 }
 
-/// The danger is the same for a second attempt once the first has answered.
+/// Guards against work whose answer is not needed: the hedge's connection is established after the first attempt was
+/// answered.
 #[test]
-fn a_second_attempt_that_is_dialling_when_the_first_answers_is_not_sent_on() {
-    let (first, second, discovery) = (Upstream::start(Habit::Told), mute(), Discovery::start());
-    let mut plan = Plan::with(&[&first]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start_with(&patient(&plan));
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "browse", 1900));
-    while !matches!(first.next(), Seen::Request(_)) {}
-    discovery.list(&upstream_list(2, false, "active", &[second.address]));
-    // The second leaves after half the SLA time, 750 ms.
+fn a_hedge_still_connecting_when_the_first_attempt_is_answered_is_not_sent() {
+    let (first, second, discovery) =
+        (Upstream::start(UpstreamBehavior::AnswerOnDemand), full_backlog_listener(), Discovery::start());
+    let mut options = BalancerOptions::new(&[&first]);
+    options.discovery = discovery.address;
+    let balancer = options.start_with(&without_cancelling(&options));
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "browse", 1900));
+    while !matches!(first.next_event(), UpstreamEvent::Request(_)) {}
+    discovery.answer_with_list(&upstream_list(2, false, "active", &[second.address]));
+    // The hedge is started after half the SLA time, 750 ms.
     sleep(900 * MS);
-    first.tell.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
+    first.answers.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
     assert_eq!(client.read().unwrap().body, "hi");
-    assert_eq!(seen_when_opened(second), None);
+    assert_eq!(first_bytes_after_opening(second), None);
 }
 
-/// The danger is a process that was held up: the connection has come up and the client has gone when it wakes, and it
-/// hears of both at once.
+/// While the process is stopped the connection is established and the client leaves. Guards against sending the request
+/// when the process sees both events at once.
 #[test]
-fn a_client_that_left_while_the_process_was_stopped_is_not_sent_on() {
-    let upstream = mute();
-    let mut plan = Plan::with(&[]);
-    plan.known.push(upstream.address);
-    let balancer = plan.start_with(&patient(&plan).replace("\"Cancelling\":false", "\"Cancelling\":true"));
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "order", 1900));
+fn a_request_whose_client_leaves_while_the_process_is_stopped_is_not_sent() {
+    let upstream = full_backlog_listener();
+    let mut options = BalancerOptions::new(&[]);
+    options.known.push(upstream.address);
+    let balancer = options
+        .start_with(&without_cancelling(&options).replace("\"Cancelling\":false", "\"Cancelling\":true"));
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "order", 1900));
     sleep(50 * MS);
     balancer.signal("STOP");
-    let opened = thread::spawn(move || seen_when_opened(upstream));
+    let sent = thread::spawn(move || first_bytes_after_opening(upstream));
     sleep(1500 * MS);
     drop(client);
     sleep(50 * MS);
     balancer.signal("CONT");
-    assert_eq!(opened.join().unwrap(), None);
+    assert_eq!(sent.join().unwrap(), None);
 }
 
-/// The danger is work for a client that sent much ahead and went: what is unread hides that it has gone.
+/// Guards against work for a client that pipelined many bytes and left: unread bytes must not hide the end of its
+/// connection.
 #[test]
-fn a_client_that_sends_more_ahead_than_is_kept_and_goes_is_noticed() {
-    let upstream = Upstream::start(Habit::Silent);
-    let balancer = Plan::with(&[&upstream]).start();
+fn a_client_that_leaves_after_pipelining_more_than_is_buffered_is_detected() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
     for way in ["closes", "ends its side", "resets"] {
-        let mut client = balancer.client();
-        client.send(&Client::request(way, "order", 60_000).replace(way, &way.replace(' ', "-")));
-        while !matches!(upstream.next(), Seen::Request(_)) {}
+        let mut client = balancer.connect();
+        client.send(&Client::request_text(way, "order", 60_000).replace(way, &way.replace(' ', "-")));
+        while !matches!(upstream.next_event(), UpstreamEvent::Request(_)) {}
         client.send(&"GET / HTTP/1.1\r\n".repeat(8000));
         sleep(50 * MS);
         match way {
             "closes" => {}
-            "ends its side" => client.0.shutdown(Shutdown::Write).unwrap(),
-            _ => SockRef::from(&client.0).set_linger(Some(Duration::ZERO)).unwrap(),
+            "ends its side" => client.stream.shutdown(Shutdown::Write).unwrap(),
+            _ => SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).unwrap(),
         }
-        let left = Instant::now();
+        let client_left = Instant::now();
         let _half_closed = (way == "ends its side").then_some(client);
-        while !matches!(upstream.next(), Seen::Closed) {}
-        assert!(left.elapsed() < 100 * MS, "{way}: {:?}", left.elapsed());
+        while !matches!(upstream.next_event(), UpstreamEvent::Closed) {}
+        assert!(client_left.elapsed() < 100 * MS, "{way}: {:?}", client_left.elapsed());
     }
 }
 
-/// The danger is an answer that the client has not read yet, lost with a connection that is reset under it: a request
-/// crosses the end of a resting connection.
+/// Guards against a reset that destroys an answer which the client has not read yet: a request arrives on an idle
+/// connection that the balancer has just closed.
 #[test]
-fn what_crosses_the_end_of_a_resting_connection_resets_nothing_and_is_not_served() {
-    // The balancer reads on for 200 ms. Where the test itself was held up for as long, nothing has crossed.
-    let crossed = (0..10).any(|_| {
-        let upstream = Upstream::start(HELLO);
-        let balancer = Plan::with(&[&upstream]).start();
-        let mut client = balancer.client();
-        client.send(&Client::request("a1", "order", 2000));
-        while !matches!(upstream.next(), Seen::Request(_)) {}
+fn a_request_that_crosses_the_close_of_an_idle_connection_resets_nothing_and_is_not_served() {
+    // The balancer still reads for 200 ms after it has closed its side. A round in which the test itself was delayed
+    // for about as long does not exercise the race and is repeated.
+    let is_exercised = (0..10).any(|_| {
+        let upstream = Upstream::start(ANSWER_HELLO);
+        let balancer = BalancerOptions::new(&[&upstream]).start();
+        let mut client = balancer.connect();
+        client.send(&Client::request_text("a1", "order", 2000));
+        while !matches!(upstream.next_event(), UpstreamEvent::Request(_)) {}
         // The answer stays unread until the connection has ended.
         balancer.signal("TERM");
-        let stood_at = wait_for_end(&client.0);
+        let last_seen_open = wait_for_close(&client.stream);
         let sent = (0..3).all(|_| {
             sleep(10 * MS);
-            client.0.write_all(Client::request("a2", "order", 2000).as_bytes()).is_ok()
+            client.stream.write_all(Client::request_text("a2", "order", 2000).as_bytes()).is_ok()
         });
-        if stood_at.elapsed() > 150 * MS {
+        if last_seen_open.elapsed() > 150 * MS {
             return false;
         }
         assert!(sent, "the balancer still reads");
-        assert_eq!(client.read().expect("the answer is still there").body, "hello");
-        assert!(client.is_closed(), "and the end, no reset");
-        assert!(upstream.requests().is_empty());
+        assert_eq!(client.read().expect("the answer is still readable").body, "hello");
+        assert!(client.closes_within_timeout(), "the connection ends without a reset");
+        assert!(upstream.take_requests().is_empty());
         true
     });
-    assert!(crossed, "the machine is too busy to tell");
+    assert!(is_exercised, "the machine is too busy for this test");
 }
 
-/// The danger is that no descriptor is left for who asks whether the program is ready, for discovery or for upstreams,
-/// and that clients lose theirs though nobody waits for one.
+/// Guards against idle clients that leave no descriptor for health checks, discovery or upstreams, and against evicting
+/// clients when no connection is needed.
 #[test]
-fn idle_clients_that_take_all_places_keep_them_until_another_comes_and_health_is_always_answered() {
-    let upstream = Upstream::start(Habit::Silent);
-    let mut plan = Plan::with(&[&upstream]);
-    let (socket, discovery) = bound();
-    (plan.sockets, plan.descriptors, plan.discovery) = (200, 200, discovery);
-    // So much time that no request ends while they are looked at.
-    let patient = plan.configuration().replace("\"ExpiryNs\":2000000000", "\"ExpiryNs\":60000000000");
-    let balancer = plan.start_with(&patient);
-    // All but a third of what the 48 for its own use leave.
-    let mut clients: Vec<Client> = (0..102).map(|_| balancer.client()).collect();
+fn idle_clients_are_evicted_only_for_new_ones_and_health_is_always_answered() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    let (socket, discovery) = bound_socket();
+    (options.sockets, options.max_descriptors, options.discovery) = (200, 200, discovery);
+    // A deadline that no request reaches during the test.
+    let long_expiry = options.configuration().replace("\"ExpiryNs\":2000000000", "\"ExpiryNs\":60000000000");
+    let balancer = options.start_with(&long_expiry);
+    // Of the 200 descriptors the program reserves 48, and a third of the rest is for connections to upstreams: 102
+    // clients use up the others.
+    let mut clients: Vec<Client> = (0..102).map(|_| balancer.connect()).collect();
     for client in &mut clients {
         client.send("GET /_health HTTP/1.1\r\nHost: b\r\n\r\n");
         assert_eq!(client.read().unwrap().status(), "200");
     }
     sleep(500 * MS);
-    let ended = |clients: &[Client]| clients.iter().filter(|client| has_ended(&client.0)).count();
-    assert_eq!(ended(&clients), 0);
-    assert_eq!(balancer.health(), "200");
-    wait_until("one has made room", || ended(&clients) == 1);
-    clients.retain(|client| !has_ended(&client.0));
-    clients.push(balancer.client());
-    // Each asks for leave to send its body: once it has that, its connection counts as busy.
+    let evicted_count =
+        |clients: &[Client]| clients.iter().filter(|client| is_closed_by_peer(&client.stream)).count();
+    assert_eq!(evicted_count(&clients), 0);
+    assert_eq!(balancer.health_status(), "200");
+    wait_until("one client is evicted", || evicted_count(&clients) == 1);
+    clients.retain(|client| !is_closed_by_peer(&client.stream));
+    clients.push(balancer.connect());
+    // Each expects 100 Continue before it sends its body. Once it has received that, its connection counts as busy.
     for (n, client) in clients.iter_mut().enumerate() {
-        let request = Client::request(&format!("a{n}"), "order", 60_000);
+        let request = Client::request_text(&format!("a{n}"), "order", 60_000);
         let head = request.replace("Content-Length", "Expect: 100-continue\r\nContent-Length");
         client.send(head.strip_suffix("work").unwrap());
     }
@@ -248,79 +256,81 @@
         assert_eq!(client.read().unwrap().status(), "100");
         client.send("work");
     }
-    // Sent out or held, each has its client's connection.
+    // By now each request is sent to the upstream or held, and keeps its client's connection busy.
     sleep(200 * MS);
-    let asked = Stopwatch::start(&balancer);
-    assert_eq!(balancer.health(), "200");
-    assert_eq!(balancer.ask("b1", "order").status(), "503");
-    assert!(asked.elapsed() < 300 * MS, "{:?}", asked.elapsed());
-    // As many again as there are descriptors, and discovery is back.
-    let _more: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
-    let mut call = accept(&listens(socket));
+    let stopwatch = Stopwatch::start(&balancer);
+    assert_eq!(balancer.health_status(), "200");
+    assert_eq!(balancer.request("b1", "order").status(), "503");
+    assert!(stopwatch.elapsed() < 300 * MS, "{:?}", stopwatch.elapsed());
+    // As many new clients as there are descriptors, while discovery recovers.
+    let _more: Vec<Client> = (0..200).map(|_| balancer.connect()).collect();
+    let mut call = accept(&start_listening(socket));
     assert!(read_message(&mut call).unwrap().head.contains("/catalog/members?from=0&"));
 }
 
-/// How long a connection to an upstream rests after an answer, at least.
-const REST: Duration = Duration::from_millis(10);
+/// The minimum time for which a connection to an upstream stays idle before it is reused.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
-/// Where the next request comes.
+/// The connection on which the next request arrives.
 enum NextRequest {
-    OnAnotherConnection(TcpStream),
-    OnTheSameConnection,
+    OnNewConnection(TcpStream),
+    OnSameConnection,
 }
 
-/// Waits for the next request on a new connection, or on one that there is.
-fn next_request(listener: &TcpListener, stream: &TcpStream) -> NextRequest {
+/// Waits for the next request, on a new connection or on this one.
+fn wait_for_next_request(listener: &TcpListener, stream: &TcpStream) -> NextRequest {
     listener.set_nonblocking(true).unwrap();
     stream.set_nonblocking(true).unwrap();
     let start = Instant::now();
     let next = loop {
         if matches!(stream.peek(&mut [0]), Ok(1..)) {
-            break NextRequest::OnTheSameConnection;
+            break NextRequest::OnSameConnection;
         }
-        if let Ok((another, _)) = listener.accept() {
-            another.set_nonblocking(false).unwrap();
-            another.set_read_timeout(Some(SOON)).unwrap();
-            break NextRequest::OnAnotherConnection(another);
+        if let Ok((new_stream, _)) = listener.accept() {
+            new_stream.set_nonblocking(false).unwrap();
+            new_stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+            break NextRequest::OnNewConnection(new_stream);
         }
-        assert!(start.elapsed() < SOON, "a request comes soon");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "a request arrives within the timeout");
         sleep(MS);
     };
     stream.set_nonblocking(false).unwrap();
     next
 }
 
-/// The danger is another request's answer: an upstream says some more after its answer, on a connection that carries
-/// the next request by then.
+/// Guards against a client that gets another request's answer: a faulty upstream sends a second answer on a connection,
+/// which must not carry the next request by then.
 #[test]
-fn a_second_answer_that_comes_late_is_nobodys() {
+fn a_late_second_answer_is_not_given_to_another_request() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut plan = Plan::with(&[]);
-    plan.known.push(listener.local_addr().unwrap());
-    let balancer = plan.start();
-    let mut client = balancer.client();
+    let mut options = BalancerOptions::new(&[]);
+    options.known.push(listener.local_addr().unwrap());
+    let balancer = options.start();
+    let mut client = balancer.connect();
     let answer = |text| format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{text}");
-    let (mut told, mut rounds) = (0, 0);
-    while told < 5 {
-        assert!(rounds < 50, "the machine is too busy to tell");
+    let (mut exercised_rounds, mut rounds) = (0, 0);
+    while exercised_rounds < 5 {
+        assert!(rounds < 50, "the machine is too busy for this test");
         rounds += 1;
-        // Two at once: the second is sent on as soon as the first is answered, whatever holds up the test.
-        let both = ["a", "b"].map(|name| Client::request(&format!("{name}{rounds}"), "order", 2000));
+        // Both requests are pipelined: the second is forwarded as soon as the first is answered, even if the test is
+        // delayed.
+        let both = ["a", "b"].map(|name| Client::request_text(&format!("{name}{rounds}"), "order", 2000));
         client.send(&both.concat());
         let mut first = accept(&listener);
         read_message(&mut first).unwrap();
         let answered = Instant::now();
         first.write_all(answer("a1").as_bytes()).unwrap();
-        match next_request(&listener, &first) {
-            NextRequest::OnAnotherConnection(mut second) => {
+        match wait_for_next_request(&listener, &first) {
+            NextRequest::OnNewConnection(mut second) => {
                 read_message(&mut second).unwrap();
                 first.write_all(answer("??").as_bytes()).unwrap();
                 second.write_all(answer("b1").as_bytes()).unwrap();
-                told += 1;
+                exercised_rounds += 1;
             }
-            // Where the balancer was held up between the two, the connection has rested, and nothing came late.
-            NextRequest::OnTheSameConnection => {
-                assert!(answered.elapsed() >= REST, "used again after {:?}", answered.elapsed());
+            // The balancer was delayed between the two requests, so the connection was idle long enough to be reused.
+            // This round does not exercise the race.
+            NextRequest::OnSameConnection => {
+                assert!(answered.elapsed() >= MIN_IDLE_BEFORE_REUSE, "reused after {:?}", answered.elapsed());
                 read_message(&mut first).unwrap();
                 first.write_all(answer("b1").as_bytes()).unwrap();
             }
@@ -328,117 +338,126 @@
         assert_eq!(client.read().unwrap().body, "a1");
         assert_eq!(client.read().unwrap().body, "b1");
         drop(first);
-        sleep(2 * REST);
+        sleep(2 * MIN_IDLE_BEFORE_REUSE);
     }
 }
 
-/// The danger is an effect that happens twice: the repeat's connection comes up when its upstreams no longer know the
-/// request again.
+/// Guards against an effect that happens twice: the connection of a retry is established after the time for which
+/// upstreams recognise the request's id.
 #[test]
-fn a_keyed_request_is_not_repeated_once_its_window_is_over_though_it_was_being_dialled() {
+fn a_keyed_retry_that_connects_after_its_deduplication_window_is_not_sent() {
     let (listener, second, discovery) =
-        (TcpListener::bind("127.0.0.1:0").unwrap(), mute(), Discovery::start());
-    let mut plan = Plan::with(&[]);
-    plan.known.push(listener.local_addr().unwrap());
-    plan.discovery = discovery.address;
+        (TcpListener::bind("127.0.0.1:0").unwrap(), full_backlog_listener(), Discovery::start());
+    let mut options = BalancerOptions::new(&[]);
+    options.known.push(listener.local_addr().unwrap());
+    options.discovery = discovery.address;
     let keyed = r#""Schemes":[{"Name":"amend","Effect":"deduplicated","DedupScope":"all","KeyTtlNs":300000000,
         "SlaTimeNs":1500000000,"ExpiryNs":2000000000,"Value":1.0},"#;
-    let balancer = plan.start_with(&patient(&plan).replace("\"Schemes\":[", keyed));
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "amend", 1900));
+    let balancer = options.start_with(&without_cancelling(&options).replace("\"Schemes\":[", keyed));
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "amend", 1900));
     let mut first = accept(&listener);
     read_message(&mut first).unwrap();
-    discovery.list(&upstream_list(2, false, "active", &[second.address]));
+    discovery.answer_with_list(&upstream_list(2, false, "active", &[second.address]));
     sleep(50 * MS);
-    // It may have run. The repeat can only go to the other.
+    // The request may have run. Its retry can only be sent to the other upstream.
     SockRef::from(&first).set_linger(Some(Duration::ZERO)).unwrap();
     drop(first);
-    // Opened sooner, the second would take a repeat that is dialled late and goes out within the window, as it may.
+    // If the second upstream were opened earlier, it could receive a retry within the window, which is allowed.
     sleep(300 * MS);
-    let answered = thread::spawn(move || client.read().expect("an answer").status().to_string());
-    assert_eq!(seen_when_opened(second), None);
-    assert_eq!(answered.join().unwrap(), "503");
+    let status = thread::spawn(move || client.read().expect("an answer").status().to_string());
+    assert_eq!(first_bytes_after_opening(second), None);
+    assert_eq!(status.join().unwrap(), "503");
 }
 
-/// The danger is a request that is taken and never answered: its last byte, the signal, another one and a new
-/// configuration come in one turn, while a second attempt is out and both upstreams hang.
+/// Guards against a request that is accepted and never answered: its last byte, SIGTERM twice and SIGHUP arrive in one
+/// turn of the event loop, while a hedge is in progress and neither upstream answers.
 #[test]
-fn a_request_whose_last_byte_crosses_the_signal_is_answered_whatever_signals_follow() {
-    let (one, two) = (Upstream::start(Habit::Silent), Upstream::start(Habit::Silent));
-    let plan = Plan::with(&[&one, &two]);
-    let mut balancer = plan.start();
-    let (mut out, mut crossing, mut half) = (balancer.client(), balancer.client(), balancer.client());
-    out.send(&Client::request("a1", "browse", 2000));
-    let first = Client::request("a2", "browse", 2000);
-    crossing.send(first.strip_suffix('k').unwrap());
-    half.send(&Client::request("a3", "order", 2000).replace("work", ""));
-    // By then the second attempt of the first is out too.
+fn a_request_completed_as_sigterm_arrives_is_answered_despite_further_signals() {
+    let (first, second) =
+        (Upstream::start(UpstreamBehavior::Silent), Upstream::start(UpstreamBehavior::Silent));
+    let options = BalancerOptions::new(&[&first, &second]);
+    let mut balancer = options.start();
+    let (mut hedged, mut crossing, mut incomplete) =
+        (balancer.connect(), balancer.connect(), balancer.connect());
+    hedged.send(&Client::request_text("a1", "browse", 2000));
+    let request = Client::request_text("a2", "browse", 2000);
+    crossing.send(request.strip_suffix('k').unwrap());
+    incomplete.send(&Client::request_text("a3", "order", 2000).replace("work", ""));
+    // By then the hedge of the first request is in progress too.
     sleep(900 * MS);
     balancer.signal("STOP");
     crossing.send("k");
     ["TERM", "TERM", "HUP", "CONT"].iter().for_each(|signal| balancer.signal(signal));
-    let told = Instant::now();
+    let signalled = Instant::now();
     sleep(100 * MS);
-    half.send("wo");
+    incomplete.send("wo");
     balancer.signal("HUP");
     balancer.signal("TERM");
-    for client in [&mut out, &mut crossing] {
+    for client in [&mut hedged, &mut crossing] {
         assert_eq!(client.read().expect("a final answer").status(), "503");
     }
-    assert!(balancer.is_running() && told.elapsed() < 2400 * MS, "{:?}", told.elapsed());
-    // Who never ends its body has taken up nobody's time: 2.7 s after the signal comes the kill.
-    let (status, log) = balancer.ended();
-    assert!(status.success() && told.elapsed() < 2700 * MS, "{:?} {log}", told.elapsed());
+    assert!(balancer.is_running() && signalled.elapsed() < 2400 * MS, "{:?}", signalled.elapsed());
+    // The client that never completes its body must not delay the exit: SIGKILL comes 2.7 s after SIGTERM.
+    let (status, log) = balancer.wait_for_exit();
+    assert!(status.success() && signalled.elapsed() < 2700 * MS, "{:?} {log}", signalled.elapsed());
 }
 
-/// The danger is a program that is killed before it has answered, where deadlines are short: the kill comes no sooner
-/// than the longest one and 0.7 s after the signal.
+/// Guards against a program that is killed before it has answered, with short deadlines too: SIGKILL comes at the
+/// earliest after the longest deadline and 0.7 s, counted from SIGTERM.
 #[test]
-fn told_to_end_with_deadlines_from_a_tenth_of_a_second_to_three_it_answers_before_the_kill() {
-    let ends = [100, 500, 1000, 3000].map(|deadline_ms| {
+fn after_sigterm_requests_with_deadlines_of_100_ms_to_3_s_are_answered_before_sigkill() {
+    let runs = [100, 500, 1000, 3000].map(|deadline_ms| {
         thread::spawn(move || {
-            let upstream = Upstream::start(Habit::Silent);
-            let plan = Plan::with(&[&upstream]);
+            let upstream = Upstream::start(UpstreamBehavior::Silent);
+            let options = BalancerOptions::new(&[&upstream]);
             let deadline = format!("\"ExpiryNs\":{deadline_ms}000000");
             let balancer =
-                plan.start_with(&plan.configuration().replace("\"ExpiryNs\":2000000000", &deadline));
-            let mut resting = balancer.client();
-            resting.ask("a0", "order");
-            let mut client = balancer.client();
-            client.send(&Client::request("a1", "order", deadline_ms));
+                options.start_with(&options.configuration().replace("\"ExpiryNs\":2000000000", &deadline));
+            let mut idle = balancer.connect();
+            idle.request("a0", "order");
+            let mut client = balancer.connect();
+            client.send(&Client::request_text("a1", "order", deadline_ms));
             balancer.signal("TERM");
-            let (told, answering) = (Instant::now(), Stopwatch::start(&balancer));
-            let answered = client.read().map(|_| answering.elapsed());
-            let mut asked = 0;
-            while told.elapsed() < deadline_ms as u32 * MS && resting.try_ask(&format!("b{asked}"), 40) {
-                asked += 1;
+            let (signalled, stopwatch) = (Instant::now(), Stopwatch::start(&balancer));
+            let answered_after = client.read().map(|_| stopwatch.elapsed());
+            let mut requests = 0;
+            while signalled.elapsed() < deadline_ms as u32 * MS
+                && idle.try_request(&format!("b{requests}"), 40)
+            {
+                requests += 1;
             }
-            let success = balancer.ended().0.success();
-            (deadline_ms as u32, answered, success, told.elapsed())
+            let success = balancer.wait_for_exit().0.success();
+            (deadline_ms as u32, answered_after, success, signalled.elapsed())
         })
     });
-    for end in ends {
-        let (deadline_ms, answered, success, ended) = end.join().unwrap();
-        assert!(answered.expect("a final answer") < (deadline_ms + 100) * MS);
-        assert!(success && ended < (deadline_ms + 700) * MS, "{deadline_ms} ms: gone after {ended:?}");
+    for run in runs {
+        let (deadline_ms, answered_after, success, exited_after) = run.join().unwrap();
+        assert!(answered_after.expect("a final answer") < (deadline_ms + 100) * MS);
+        assert!(
+            success && exited_after < (deadline_ms + 700) * MS,
+            "{deadline_ms} ms: exited after {exited_after:?}"
+        );
     }
 }
 
-/// The danger is an attempt that begins at an upstream after it was announced as leaving: it was being dialled.
+/// Guards against an attempt that is sent to an upstream after it started to drain, because its connection was being
+/// established meanwhile.
 #[test]
-fn an_attempt_that_is_dialling_when_its_upstream_is_announced_as_leaving_goes_elsewhere() {
-    let (leaving, other, discovery) = (mute(), Upstream::start(HELLO), Discovery::start());
-    let mut plan = Plan::with(&[]);
-    plan.known.push(leaving.address);
-    plan.discovery = discovery.address;
-    let balancer = plan.start_with(&patient(&plan));
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "order", 1900));
+fn an_attempt_still_connecting_when_its_upstream_starts_to_drain_is_retried_elsewhere() {
+    let (draining, other, discovery) =
+        (full_backlog_listener(), Upstream::start(ANSWER_HELLO), Discovery::start());
+    let mut options = BalancerOptions::new(&[]);
+    options.known.push(draining.address);
+    options.discovery = discovery.address;
+    let balancer = options.start_with(&without_cancelling(&options));
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "order", 1900));
     sleep(50 * MS);
-    discovery.list(&upstream_list(2, false, "active", &[other.address]));
-    let told = Instant::now();
-    discovery.list(&upstream_list(3, false, "leaving", &[leaving.address]));
+    discovery.answer_with_list(&upstream_list(2, false, "active", &[other.address]));
+    let announced = Instant::now();
+    discovery.answer_with_list(&upstream_list(3, false, "leaving", &[draining.address]));
     assert_eq!(client.read().unwrap().body, "hello");
-    assert!(told.elapsed() < 500 * MS, "{:?}", told.elapsed());
-    assert_eq!(seen_when_opened(leaving), None);
+    assert!(announced.elapsed() < 500 * MS, "{:?}", announced.elapsed());
+    assert_eq!(first_bytes_after_opening(draining), None);
 }
--- a/crates/pondlb-server/tests/service.rs
+++ b/crates/pondlb-server/tests/service.rs
@@ -1,4 +1,4 @@
-//! The program itself, spoken to over loopback.
+//! Integration tests of the balancer program: real processes on loopback sockets.
 
 mod control;
 mod helper;
@@ -13,412 +13,434 @@
 use expect_test::expect;
 use helper::*;
 
+/// One millisecond.
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_request_is_served_and_connections_are_kept() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    assert_eq!(balancer.health(), "200");
-    let mut client = balancer.client();
+fn requests_are_forwarded_and_connections_kept_alive() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    assert_eq!(balancer.health_status(), "200");
+    let mut client = balancer.connect();
     for id in ["a1", "a2"] {
-        // A connection rests for a moment after its answer.
+        // A connection is reused only after a short idle time.
         sleep(30 * MS);
-        let answer = client.ask(id, "order");
+        let answer = client.request(id, "order");
         assert_eq!((answer.status(), &*answer.body, answer.field("X-Answer")), ("200", "hello", Some("yes")));
     }
-    assert!(matches!(upstream.next(), Seen::Connected));
-    let Seen::Request(first) = upstream.next() else { panic!("the request follows") };
+    assert!(matches!(upstream.next_event(), UpstreamEvent::Connected));
+    let UpstreamEvent::Request(first) = upstream.next_event() else {
+        panic!("the request follows the connection")
+    };
     assert!(first.head.starts_with("POST /api?x=1 HTTP/1.1\n"), "{}", first.head);
     assert_eq!((first.field("Req-Id"), &*first.body), (Some("a1"), "work"));
-    let wait: u64 = first.field("Req-Deadline").unwrap().strip_suffix('u').unwrap().parse().unwrap();
-    assert!((1_800_000..2_000_000).contains(&wait), "{wait}");
-    assert!(matches!(upstream.next(), Seen::Request(second) if second.field("Req-Id") == Some("a2")));
-}
-
-#[test]
-fn what_is_malformed_gets_a_4xx_and_a_close_and_goes_nowhere() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    let whole = Client::request("a1", "order", 2000);
-    for bad in [
-        whole.replace("Req-Id: a1\r\n", ""),
-        whole.replace("order", "unknown"),
-        whole.replace("2000m", "soon"),
-        whole.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
-        whole.replace("Content-Length: 4", "Content-Length: 70000"),
+    let deadline_us: u64 = first.field("Req-Deadline").unwrap().strip_suffix('u').unwrap().parse().unwrap();
+    assert!((1_800_000..2_000_000).contains(&deadline_us), "{deadline_us}");
+    assert!(
+        matches!(upstream.next_event(), UpstreamEvent::Request(second) if second.field("Req-Id") == Some("a2"))
+    );
+}
+
+#[test]
+fn malformed_requests_get_a_4xx_and_a_close_and_are_not_forwarded() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let valid = Client::request_text("a1", "order", 2000);
+    for malformed in [
+        valid.replace("Req-Id: a1\r\n", ""),
+        valid.replace("order", "unknown"),
+        valid.replace("2000m", "soon"),
+        valid.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
+        valid.replace("Content-Length: 4", "Content-Length: 70000"),
         "\x16\x03\x01 hello \r\n\r\n".into(),
     ] {
-        let mut client = balancer.client();
-        client.send(&bad);
-        let answer = client.read().expect("a refusal");
-        assert!(answer.status().starts_with('4'), "{bad:?}: {}", answer.head);
-        assert!(client.is_closed(), "{bad:?}");
+        let mut client = balancer.connect();
+        client.send(&malformed);
+        let answer = client.read().expect("an answer");
+        assert!(answer.status().starts_with('4'), "{malformed:?}: {}", answer.head);
+        assert!(client.closes_within_timeout(), "{malformed:?}");
     }
-    assert_eq!(balancer.ask("a2", "order").status(), "200");
-    assert_eq!(upstream.requests().len(), 1);
+    assert_eq!(balancer.request("a2", "order").status(), "200");
+    assert_eq!(upstream.take_requests().len(), 1);
 }
 
 #[test]
-fn what_could_not_connect_never_ran_and_goes_elsewhere() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.known.push(nobody());
-    let balancer = plan.start();
+fn a_request_is_retried_elsewhere_when_the_connection_is_refused() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.known.push(refusing_address());
+    let balancer = options.start();
     for n in 0..12 {
-        assert_eq!(balancer.ask(&format!("a{n}"), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("a{n}"), "order").status(), "200");
     }
-    assert_eq!(upstream.requests().len(), 12);
+    assert_eq!(upstream.take_requests().len(), 12);
 }
 
-/// The danger is an effect that happens twice: after the last byte a reset may have run.
+/// Guards against an effect that happens twice: an upstream that resets the connection after the request's last byte
+/// may have executed the request.
 #[test]
-fn what_may_have_run_is_sent_once() {
-    let (one, two) = (Upstream::start(Habit::Reset), Upstream::start(Habit::Reset));
-    let balancer = Plan::with(&[&one, &two]).start();
-    assert_eq!(balancer.ask("a1", "order").status(), "502");
+fn a_non_idempotent_request_is_not_retried_after_a_reset() {
+    let (first, second) =
+        (Upstream::start(UpstreamBehavior::Reset), Upstream::start(UpstreamBehavior::Reset));
+    let balancer = BalancerOptions::new(&[&first, &second]).start();
+    assert_eq!(balancer.request("a1", "order").status(), "502");
     sleep(200 * MS);
-    assert_eq!(one.requests().len() + two.requests().len(), 1);
+    assert_eq!(first.take_requests().len() + second.take_requests().len(), 1);
 }
 
 #[test]
-fn a_kept_connection_that_has_ended_costs_no_request() {
-    let upstream = Upstream::start(Habit::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 30));
-    let balancer = Plan::with(&[&upstream]).start();
+fn an_idle_connection_closed_by_the_upstream_fails_no_request() {
+    let upstream = Upstream::start(UpstreamBehavior::AnswerAndClose(
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+        30,
+    ));
+    let balancer = BalancerOptions::new(&[&upstream]).start();
     for n in 0..5 {
-        assert_eq!(balancer.ask(&format!("a{n}"), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("a{n}"), "order").status(), "200");
         sleep(60 * MS);
     }
-    assert_eq!(upstream.requests().len(), 5);
+    assert_eq!(upstream.take_requests().len(), 5);
 }
 
-/// The danger is an attempt on a connection that its upstream is just closing.
+/// Guards against an attempt that is sent on a connection as its upstream closes it.
 #[test]
-fn idle_connections_are_retired_well_before_the_settings_time() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.idle_ms = 1600;
-    let balancer = plan.start();
-    balancer.ask("a1", "order");
+fn idle_upstream_connections_are_closed_well_before_the_idle_timeout() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.conn_idle_ms = 1600;
+    let balancer = options.start();
+    balancer.request("a1", "order");
     let answered = Instant::now();
-    while !matches!(upstream.next(), Seen::Closed) {}
+    while !matches!(upstream.next_event(), UpstreamEvent::Closed) {}
     assert!(answered.elapsed() < 1200 * MS, "{:?}", answered.elapsed());
 }
 
 #[test]
-fn a_client_that_closes_has_left_and_its_attempt_is_closed() {
-    let upstream = Upstream::start(Habit::Silent);
-    let balancer = Plan::with(&[&upstream]).start();
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "order", 60_000));
-    while !matches!(upstream.next(), Seen::Request(_)) {}
+fn an_attempt_is_closed_when_its_client_closes() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "order", 60_000));
+    while !matches!(upstream.next_event(), UpstreamEvent::Request(_)) {}
     drop(client);
-    let left = Instant::now();
-    while !matches!(upstream.next(), Seen::Closed) {}
-    assert!(left.elapsed() < 500 * MS);
+    let client_left = Instant::now();
+    while !matches!(upstream.next_event(), UpstreamEvent::Closed) {}
+    assert!(client_left.elapsed() < 500 * MS);
 }
 
 #[test]
-fn a_partial_answer_is_never_passed_off_as_whole() {
-    for partial in [
+fn a_truncated_answer_is_reported_as_502() {
+    for truncated in [
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
         "HTTP/1.1 200 OK\r\nContent-Le",
     ] {
-        let upstream = Upstream::start(Habit::SayAndClose(partial, 0));
-        let balancer = Plan::with(&[&upstream]).start();
-        assert_eq!(balancer.ask("a1", "order").status(), "502", "{partial:?}");
-        assert_eq!(upstream.requests().len(), 1);
+        let upstream = Upstream::start(UpstreamBehavior::AnswerAndClose(truncated, 0));
+        let balancer = BalancerOptions::new(&[&upstream]).start();
+        assert_eq!(balancer.request("a1", "order").status(), "502", "{truncated:?}");
+        assert_eq!(upstream.take_requests().len(), 1);
     }
 }
 
 #[test]
-fn answers_of_every_framing_are_passed_on() {
+fn answers_of_every_framing_are_forwarded() {
     for answer in [
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
         "HTTP/1.0 200 OK\r\n\r\nhello",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
     ] {
-        let upstream = Upstream::start(Habit::SayAndClose(answer, 0));
-        let balancer = Plan::with(&[&upstream]).start();
-        let served = balancer.ask("a1", "order");
+        let upstream = Upstream::start(UpstreamBehavior::AnswerAndClose(answer, 0));
+        let balancer = BalancerOptions::new(&[&upstream]).start();
+        let served = balancer.request("a1", "order");
         assert_eq!((served.status(), &*served.body), ("200", "hello"));
     }
 }
 
-/// The danger is a good answer that is taken for one without an end.
+/// Guards against a size limit on answers that also rejects valid large ones.
 #[test]
-fn a_long_answer_is_passed_on_whole_and_one_of_gigabytes_is_not() {
-    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}", "x".repeat(400_000));
-    let upstream = Upstream::start(Habit::Say(long.leak()));
-    let balancer = Plan::with(&[&upstream]).start();
-    assert_eq!(balancer.ask("a1", "order").body.len(), 400_000);
-    let upstream = Upstream::start(Habit::Say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
-    let balancer = Plan::with(&[&upstream]).start();
-    assert_eq!(balancer.ask("a1", "order").status(), "502");
+fn a_large_answer_is_forwarded_and_one_of_gigabytes_is_rejected() {
+    let large_answer = format!("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}", "x".repeat(400_000));
+    let upstream = Upstream::start(UpstreamBehavior::Answer(large_answer.leak()));
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    assert_eq!(balancer.request("a1", "order").body.len(), 400_000);
+    let upstream =
+        Upstream::start(UpstreamBehavior::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    assert_eq!(balancer.request("a1", "order").status(), "502");
 }
 
 #[test]
-fn a_silent_machine_delays_nobody_beyond_the_deadline() {
-    let upstream = Upstream::start(Habit::Silent);
-    let balancer = Plan::with(&[&upstream]).start();
-    let mut client = balancer.client();
-    let (start, asked) = (Instant::now(), Stopwatch::start(&balancer));
-    client.send(&Client::request("a1", "order", 700));
+fn a_request_to_a_silent_upstream_fails_by_its_deadline() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let mut client = balancer.connect();
+    let (start, stopwatch) = (Instant::now(), Stopwatch::start(&balancer));
+    client.send(&Client::request_text("a1", "order", 700));
     assert_eq!(client.read().expect("a final answer").status(), "502");
-    let (waited, took) = (start.elapsed(), asked.elapsed());
-    assert!(waited >= 500 * MS && took < 770 * MS, "{waited:?}, {took:?} without waits for a processor");
+    let (elapsed, runnable) = (start.elapsed(), stopwatch.elapsed());
+    assert!(
+        elapsed >= 500 * MS && runnable < 770 * MS,
+        "{elapsed:?}, {runnable:?} without waits for a processor"
+    );
 }
 
 #[test]
-fn what_is_rejected_is_rejected_at_once_with_advice() {
-    let full = Habit::Say("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-    let upstream = Upstream::start(full);
-    let balancer = Plan::with(&[&upstream]).start();
-    let rejected = balancer.ask("a1", "order");
+fn a_rejected_request_gets_a_retry_after_field() {
+    let overloaded =
+        UpstreamBehavior::Answer("HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+    let upstream = Upstream::start(overloaded);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let rejected = balancer.request("a1", "order");
     assert_eq!(rejected.status(), "503");
-    let advice: f64 = rejected.field("Retry-After").expect("advice").parse().unwrap();
-    assert!((0.1..=2.0).contains(&advice), "{advice}");
+    let retry_after_seconds: f64 = rejected.field("Retry-After").expect("Retry-After").parse().unwrap();
+    assert!((0.1..=2.0).contains(&retry_after_seconds), "{retry_after_seconds}");
 }
 
 #[test]
-fn idle_clients_make_way_and_slow_ones_pin_no_memory() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    (plan.sockets, plan.descriptors, plan.memory_mb) = (128, 128, 16);
-    let balancer = plan.start();
-    let idle: Vec<Client> = (0..100).map(|_| balancer.client()).collect();
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-    let half = large("a2");
-    let mut slow: Vec<Client> = (0..30).map(|_| balancer.client()).collect();
+fn idle_clients_are_evicted_and_slow_ones_pin_no_memory() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    (options.sockets, options.max_descriptors, options.memory_mb) = (128, 128, 16);
+    let balancer = options.start();
+    let idle: Vec<Client> = (0..100).map(|_| balancer.connect()).collect();
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+    let large_request = request_with_largest_body("a2");
+    let mut slow: Vec<Client> = (0..30).map(|_| balancer.connect()).collect();
     for client in &mut slow {
-        // One that is turned away may have closed before it has read all.
-        let _reset = client.0.write_all(&half.as_bytes()[..half.len() - 2]);
+        // The balancer may reject the request and close the connection before it has read all of it.
+        let incomplete = &large_request.as_bytes()[..large_request.len() - 2];
+        let _reset = client.stream.write_all(incomplete);
     }
     sleep(200 * MS);
     let rejected = slow.iter_mut().filter_map(|client| {
-        client.0.set_read_timeout(Some(MS)).unwrap();
+        client.stream.set_read_timeout(Some(MS)).unwrap();
         client.read().filter(|answer| answer.status() == "503")
     });
     let rejected: Vec<Message> = rejected.collect();
     assert!((5..30).contains(&rejected.len()), "{}", rejected.len());
-    assert!(rejected.iter().all(|d| d.field("Retry-After").is_some()));
+    assert!(rejected.iter().all(|answer| answer.field("Retry-After").is_some()));
     sleep(500 * MS);
-    assert_eq!(balancer.ask("a3", "order").status(), "200", "those that are still slow give way");
+    assert_eq!(balancer.request("a3", "order").status(), "200", "clients that are still slow are evicted");
     drop((idle, slow));
 }
 
-/// With the largest body that there may be.
-fn large(id: &str) -> String {
-    Client::request(id, "order", 60_000).replace(": 4", ": 65536").replace("work", &"x".repeat(65_536))
+/// A request with the largest body that is accepted.
+fn request_with_largest_body(id: &str) -> String {
+    Client::request_text(id, "order", 60_000).replace(": 4", ": 65536").replace("work", &"x".repeat(65_536))
 }
 
 #[test]
-fn a_full_house_of_the_largest_requests_stays_within_the_memory() {
-    let upstream = Upstream::start(Habit::Silent);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.memory_mb = 32;
-    let balancer = plan.start();
-    let mut clients: Vec<Client> = (0..150).map(|_| balancer.client()).collect();
+fn the_largest_requests_stay_within_the_memory_limit() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.memory_mb = 32;
+    let balancer = options.start();
+    let mut clients: Vec<Client> = (0..150).map(|_| balancer.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        let _reset = client.0.write_all(large(&format!("a{n}")).as_bytes());
+        let _reset = client.stream.write_all(request_with_largest_body(&format!("a{n}")).as_bytes());
     }
-    wait_until("the room is full", || balancer.health() == "503");
-    assert!(balancer.peak_kb() < 32 * 1024, "{} KiB", balancer.peak_kb());
+    wait_until("the memory for requests is used up", || balancer.health_status() == "503");
+    assert!(balancer.peak_resident_kib() < 32 * 1024, "{} KiB", balancer.peak_resident_kib());
     drop(clients);
-    wait_until("there is room again", || balancer.health() == "200");
+    wait_until("memory is free again", || balancer.health_status() == "200");
 }
 
-/// The danger is rejecting most of a calm day's requests for bodies that nobody sends.
+/// Guards against rejecting requests at low load: each would be charged for the largest body although it is small.
 #[test]
-fn small_requests_are_counted_as_small() {
-    let upstream = Upstream::start(Habit::Silent);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.memory_mb = 32;
-    // So much time that it is not over before all of them are looked at.
-    let patient = plan.configuration().replace("\"ExpiryNs\":2000000000", "\"ExpiryNs\":60000000000");
-    let balancer = plan.start_with(&patient);
-    let mut clients: Vec<Client> = (0..100).map(|_| balancer.client()).collect();
+fn small_requests_are_charged_for_their_actual_size() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.memory_mb = 32;
+    // A deadline that does not pass before the test has checked all of them.
+    let long_expiry = options.configuration().replace("\"ExpiryNs\":2000000000", "\"ExpiryNs\":60000000000");
+    let balancer = options.start_with(&long_expiry);
+    let mut clients: Vec<Client> = (0..100).map(|_| balancer.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&Client::request(&format!("a{n}"), "order", 60_000));
+        client.send(&Client::request_text(&format!("a{n}"), "order", 60_000));
     }
-    // It comes after the others and is held for its time: by then each of them has been let in or rejected.
-    let mut last = balancer.client();
+    // This request arrives last and is held until its deadline: by then each earlier one has been accepted or rejected.
+    let mut last = balancer.connect();
     let sent = Instant::now();
-    last.send(&Client::request("last", "order", 100));
-    assert_eq!(last.read().expect("a decline").status(), "503");
-    assert!(sent.elapsed() >= 50 * MS, "it is let in too");
-    assert_eq!(balancer.health(), "200");
+    last.send(&Client::request_text("last", "order", 100));
+    assert_eq!(last.read().expect("a rejection").status(), "503");
+    assert!(sent.elapsed() >= 50 * MS, "the last request is accepted too");
+    assert_eq!(balancer.health_status(), "200");
     for client in &clients {
-        assert!(client.hears_nothing(), "each is let in and waits for its answer");
+        assert!(client.has_received_nothing(), "each request is accepted and waits for its answer");
     }
 }
 
 #[test]
-fn idle_connections_to_upstreams_close_for_those_that_are_needed() {
-    let before: Vec<Upstream> = (0..8).map(|_| Upstream::start(HELLO)).collect();
-    let after: Vec<Upstream> = (0..8).map(|_| Upstream::start(HELLO)).collect();
+fn idle_upstream_connections_are_closed_to_make_room_for_new_ones() {
+    let old_upstreams: Vec<Upstream> = (0..8).map(|_| Upstream::start(ANSWER_HELLO)).collect();
+    let new_upstreams: Vec<Upstream> = (0..8).map(|_| Upstream::start(ANSWER_HELLO)).collect();
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&before.iter().collect::<Vec<_>>());
-    // So few that eight connections to upstreams are all there may be.
-    (plan.sockets, plan.descriptors, plan.discovery) = (72, 72, discovery.address);
-    let balancer = plan.start();
-    let mut client = balancer.client();
+    let mut options = BalancerOptions::new(&old_upstreams.iter().collect::<Vec<_>>());
+    // Limits under which there may be only eight connections to upstreams.
+    (options.sockets, options.max_descriptors, options.discovery) = (72, 72, discovery.address);
+    let balancer = options.start();
+    let mut client = balancer.connect();
     for n in 0..40 {
-        assert_eq!(client.ask(&format!("a{n}"), "order").status(), "200");
+        assert_eq!(client.request(&format!("a{n}"), "order").status(), "200");
     }
-    let addresses: Vec<SocketAddr> = after.iter().map(|upstream| upstream.address).collect();
-    discovery.list(&upstream_list(2, true, "active", &addresses));
+    let addresses: Vec<SocketAddr> = new_upstreams.iter().map(|upstream| upstream.address).collect();
+    discovery.answer_with_list(&upstream_list(2, true, "active", &addresses));
     sleep(100 * MS);
     for n in 0..40 {
-        assert_eq!(client.ask(&format!("b{n}"), "order").status(), "200");
+        assert_eq!(client.request(&format!("b{n}"), "order").status(), "200");
     }
-    for upstreams in [before, after] {
-        assert_eq!(upstreams.iter().map(|u| u.requests().len()).sum::<usize>(), 40);
+    for upstreams in [old_upstreams, new_upstreams] {
+        assert_eq!(upstreams.iter().map(|upstream| upstream.take_requests().len()).sum::<usize>(), 40);
     }
 }
 
-/// The danger is waiting for TCP, which tries for minutes.
+/// Guards against waiting for the system's own TCP connect timeout, which is minutes long.
 #[test]
-fn a_machine_that_never_takes_a_connection_could_not_be_connected_to() {
-    let (mute, upstream) = (mute(), Upstream::start(HELLO));
-    let mut plan = Plan::with(&[&upstream]);
-    plan.known.push(mute.address);
-    let balancer = plan.start();
+fn a_request_is_retried_elsewhere_when_connecting_times_out() {
+    let (unresponsive, upstream) = (full_backlog_listener(), Upstream::start(ANSWER_HELLO));
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.known.push(unresponsive.address);
+    let balancer = options.start();
     for n in 0..8 {
-        let asked = Stopwatch::start(&balancer);
-        assert_eq!(balancer.ask(&format!("a{n}"), "order").status(), "200");
-        assert!(asked.elapsed() < 700 * MS, "{:?}", asked.elapsed());
+        let stopwatch = Stopwatch::start(&balancer);
+        assert_eq!(balancer.request(&format!("a{n}"), "order").status(), "200");
+        assert!(stopwatch.elapsed() < 700 * MS, "{:?}", stopwatch.elapsed());
     }
-    assert_eq!(upstream.requests().len(), 8);
+    assert_eq!(upstream.take_requests().len(), 8);
 }
 
 #[test]
-fn requests_sent_ahead_are_answered_in_their_order() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    let mut client = balancer.client();
-    let ask = |id| Client::request(id, "order", 2000);
-    client.send(&format!("{}{}GET /_health HTTP/1.1\r\nHost: b\r\n\r\n", ask("a1"), ask("a2")));
+fn pipelined_requests_are_answered_in_order() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let mut client = balancer.connect();
+    let request = |id| Client::request_text(id, "order", 2000);
+    client.send(&format!("{}{}GET /_health HTTP/1.1\r\nHost: b\r\n\r\n", request("a1"), request("a2")));
     let bodies: Vec<String> = (0..3).map(|_| client.read().unwrap().body).collect();
     assert_eq!(bodies, ["hello", "hello", "ready"]);
-    let ids: Vec<String> = upstream.requests().iter().map(|r| r.field("Req-Id").unwrap().into()).collect();
+    let ids: Vec<String> =
+        upstream.take_requests().iter().map(|request| request.field("Req-Id").unwrap().into()).collect();
     assert_eq!(ids, ["a1", "a2"]);
 }
 
-/// The danger is hundreds that hold a place each and never say what they want.
+/// Guards against hundreds of connections that fill the connection table and never send a complete request.
 #[test]
-fn who_says_nothing_or_half_a_request_is_soon_closed_and_who_asked_before_is_not() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    let connected_after = Instant::now();
-    let (mut kept, mut silent, mut half) = (balancer.client(), balancer.client(), balancer.client());
-    assert_eq!(kept.ask("a1", "order").status(), "200");
-    half.send("POST /api HTTP/1.1\r\nHost:");
+fn connections_without_a_complete_first_request_are_closed_soon_and_used_ones_are_kept() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let before_connecting = Instant::now();
+    let (mut used, mut silent, mut incomplete) = (balancer.connect(), balancer.connect(), balancer.connect());
+    assert_eq!(used.request("a1", "order").status(), "200");
+    incomplete.send("POST /api HTTP/1.1\r\nHost:");
     let start = Instant::now();
-    assert!(silent.is_closed());
-    let (longest, shortest) = (connected_after.elapsed(), start.elapsed());
+    assert!(silent.closes_within_timeout());
+    let (longest, shortest) = (before_connecting.elapsed(), start.elapsed());
     assert!(longest >= 1900 * MS && shortest < 2400 * MS, "{shortest:?} to {longest:?}");
-    assert_eq!(half.read().expect("an answer").status(), "408");
+    assert_eq!(incomplete.read().expect("an answer").status(), "408");
     assert!(start.elapsed() < 2800 * MS, "{:?}", start.elapsed());
-    assert_eq!(kept.ask("a2", "order").status(), "200");
+    assert_eq!(used.request("a2", "order").status(), "200");
 }
 
-/// The danger is a client's fault that counts against every upstream it is tried at.
+/// Guards against a client's invalid request that is retried and counted as a failure of each upstream.
 #[test]
-fn a_request_that_an_upstream_finds_faulty_is_tried_once_and_its_id_is_not_taken_twice() {
-    let bad = "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n";
-    let (one, two) = (Upstream::start(Habit::Say(bad)), Upstream::start(Habit::Say(bad)));
-    let balancer = Plan::with(&[&one, &two]).start();
-    let mut client = balancer.client();
+fn a_request_answered_with_400_is_not_retried_and_its_id_is_not_accepted_again() {
+    let bad_request = "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n";
+    let (first, second) = (
+        Upstream::start(UpstreamBehavior::Answer(bad_request)),
+        Upstream::start(UpstreamBehavior::Answer(bad_request)),
+    );
+    let balancer = BalancerOptions::new(&[&first, &second]).start();
+    let mut client = balancer.connect();
     for n in 0..20 {
-        assert_eq!(client.ask(&format!("a{n}"), "browse").status(), "400");
+        assert_eq!(client.request(&format!("a{n}"), "browse").status(), "400");
     }
-    assert_eq!(one.requests().len() + two.requests().len(), 20);
-    assert_eq!(client.ask("a7", "browse").status(), "409");
-    assert_eq!(one.requests().len() + two.requests().len(), 0);
+    assert_eq!(first.take_requests().len() + second.take_requests().len(), 20);
+    assert_eq!(client.request("a7", "browse").status(), "409");
+    assert_eq!(first.take_requests().len() + second.take_requests().len(), 0);
 }
 
-/// The danger is a client that reads nothing of its refusal, since the connection breaks under its own bytes.
+/// Guards against a client that cannot read the 413: closing the connection over the unread bytes of its body would
+/// reset it.
 #[test]
-fn a_huge_body_is_refused_before_it_is_read_and_the_client_hears_so() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
+fn a_huge_body_is_refused_before_it_is_read_and_the_client_can_read_the_413() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
     for framing in ["Content-Length: 60000000", "Transfer-Encoding: chunked"] {
-        let mut client = balancer.client();
-        let head = Client::request("a1", "order", 2000).replace("Content-Length: 4", framing);
+        let mut client = balancer.connect();
+        let head = Client::request_text("a1", "order", 2000).replace("Content-Length: 4", framing);
         client.send(head.strip_suffix("work").unwrap());
         let piece = format!("10000\r\n{}\r\n", "x".repeat(65_536));
-        // Some of it: what a client has sent by the time it could have read the answer.
-        let _refused = (0..3).try_for_each(|_| client.0.write_all(piece.as_bytes()));
-        assert_eq!(client.read().expect("a refusal").status(), "413");
+        // Only a part of the body: what a client may have sent before it can read the answer.
+        let _closed = (0..3).try_for_each(|_| client.stream.write_all(piece.as_bytes()));
+        assert_eq!(client.read().expect("an answer").status(), "413");
     }
-    let used = balancer.peak_kb();
-    assert!(used < 12 * 1024, "{used} KiB");
+    let peak_kib = balancer.peak_resident_kib();
+    assert!(peak_kib < 12 * 1024, "{peak_kib} KiB");
 }
 
-/// The danger is a loop on accept, which fails at once for as long as descriptors are short.
+/// Guards against a busy loop on accept, which fails at once while no descriptor is free.
 #[test]
-fn running_out_of_descriptors_neither_spins_nor_kills() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.descriptors = 24;
-    let mut balancer = plan.start();
-    let mut busy: Vec<Client> = (0..60).map(|_| balancer.client()).collect();
+fn running_out_of_descriptors_neither_spins_nor_crashes() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.max_descriptors = 24;
+    let mut balancer = options.start();
+    let mut busy: Vec<Client> = (0..60).map(|_| balancer.connect()).collect();
     for client in &mut busy {
         client.send("POST /api HTTP/1.1\r\n");
     }
     sleep(100 * MS);
-    let before = balancer.ticks();
+    let ticks_before = balancer.cpu_ticks();
     sleep(1000 * MS);
-    let used = balancer.ticks() - before;
-    assert!(used < 30, "{used} of 100 ticks");
+    let used_ticks = balancer.cpu_ticks() - ticks_before;
+    assert!(used_ticks < 30, "{used_ticks} of 100 ticks");
     assert!(balancer.is_running());
     drop(busy);
-    wait_until("it serves again", || balancer.ask("a1", "order").status() == "200");
+    wait_until("requests are served again", || balancer.request("a1", "order").status() == "200");
 }
 
 #[test]
-fn without_discovery_the_known_list_serves_and_a_garbled_one_changes_nothing() {
-    let upstream = Upstream::start(HELLO);
+fn the_known_list_is_used_until_discovery_sends_a_valid_one() {
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-    discovery.list("{\"rev\":2,\"all\":true,\"targets\":[{}]}");
-    discovery.answer("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n[[[[");
-    assert_eq!(balancer.ask("a2", "order").status(), "200");
-    discovery.list(&upstream_list(3, true, "active", &[upstream.address]));
-    discovery.list(&upstream_list(4, false, "active", &[]));
-    let calls = || discovery.told.lock().unwrap().calls.len();
-    wait_until("the watch goes on", || calls() == 5);
-    let told = discovery.told.lock().unwrap();
-    let lines: Vec<&str> = told.calls.iter().map(|(line, _)| line.split(' ').nth(1).unwrap()).collect();
-    // A watch's first call hardly waits for news.
-    let call = |from, hold| format!("/catalog/members?from={from}&hold_ms={hold}");
-    assert_eq!(lines, [call(0, 100), call(0, 100), call(0, 100), call(3, 1000), call(4, 1000)]);
-    for (n, answered) in [(3, told.answered[2]), (4, told.answered[3])] {
-        let gap = told.calls[n].1.duration_since(answered);
-        assert!(gap < 200 * MS, "call {n} came {gap:?} after the last answer");
-    }
-}
-
-/// The danger is a loop of calls that takes the whole core, at both ends.
-#[test]
-fn a_discovery_that_answers_at_once_with_no_news_is_not_called_without_end() {
-    let upstream = Upstream::start(HELLO);
-    let mut plan = Plan::with(&[&upstream]);
-    let (socket, discovery) = bound();
-    plan.discovery = discovery;
-    let listener = listens(socket);
-    let _balancer = plan.start();
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+    discovery.answer_with_list("{\"rev\":2,\"all\":true,\"targets\":[{}]}");
+    discovery.answer_call("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n[[[[");
+    assert_eq!(balancer.request("a2", "order").status(), "200");
+    discovery.answer_with_list(&upstream_list(3, true, "active", &[upstream.address]));
+    discovery.answer_with_list(&upstream_list(4, false, "active", &[]));
+    let call_count = || discovery.state.lock().unwrap().calls.len();
+    wait_until("the watch continues", || call_count() == 5);
+    let state = discovery.state.lock().unwrap();
+    let paths: Vec<&str> =
+        state.calls.iter().map(|call| call.request_line.split(' ').nth(1).unwrap()).collect();
+    // Discovery may hold the first call of a watch for 100 ms only, and a watch ends with an invalid answer.
+    let path = |from, hold_ms| format!("/catalog/members?from={from}&hold_ms={hold_ms}");
+    assert_eq!(paths, [path(0, 100), path(0, 100), path(0, 100), path(3, 1000), path(4, 1000)]);
+    for (n, answered_at) in [(3, state.answered_at[2]), (4, state.answered_at[3])] {
+        let gap = state.calls[n].received_at.duration_since(answered_at);
+        assert!(gap < 200 * MS, "call {n} came {gap:?} after the previous answer");
+    }
+}
+
+/// Guards against a busy loop of calls, which takes a whole core at both ends.
+#[test]
+fn calls_to_a_discovery_that_answers_at_once_without_changes_are_spaced() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    let (socket, discovery) = bound_socket();
+    options.discovery = discovery;
+    let listener = start_listening(socket);
+    let _balancer = options.start();
     let mut watch = accept(&listener);
     read_message(&mut watch).expect("a call");
-    let no_news = upstream_list(1, false, "active", &[]);
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{no_news}", no_news.len());
-    // No two calls begin within 50 ms of each other, however late an answer is or is heard of: the first of these comes
-    // after the start, and the eleventh ten waits later.
+    let no_changes = upstream_list(1, false, "active", &[]);
+    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{no_changes}", no_changes.len());
+    // Calls begin at least 50 ms apart, however late an answer is sent or read. The first call below begins after
+    // `start`, the eleventh ten intervals after the first.
     let start = Instant::now();
     for _ in 0..11 {
         watch.write_all(answer.as_bytes()).unwrap();
@@ -428,85 +450,94 @@
 }
 
 #[test]
-fn a_client_that_waits_for_leave_to_send_its_body_is_given_it() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    let mut client = balancer.client();
-    let request = Client::request("a1", "order", 2000)
+fn a_client_that_expects_100_continue_receives_it() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let mut client = balancer.connect();
+    let request = Client::request_text("a1", "order", 2000)
         .replace("Content-Length", "Expect: 100-continue\r\nContent-Length");
     client.send(request.strip_suffix("work").unwrap());
     assert_eq!(client.read().unwrap().status(), "100");
     client.send("work");
     assert_eq!(client.read().unwrap().status(), "200");
-    assert_eq!(upstream.requests()[0].body, "work");
+    assert_eq!(upstream.take_requests()[0].body, "work");
 }
 
 #[test]
-fn an_upstream_that_drains_gets_nothing_new() {
-    let (one, two) = (Upstream::start(HELLO), Upstream::start(HELLO));
+fn a_draining_upstream_gets_no_new_requests() {
+    let (draining, remaining) = (Upstream::start(ANSWER_HELLO), Upstream::start(ANSWER_HELLO));
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[&one, &two]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
+    let mut options = BalancerOptions::new(&[&draining, &remaining]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
     for n in 0..10 {
-        balancer.ask(&format!("a{n}"), "order");
+        balancer.request(&format!("a{n}"), "order");
     }
-    discovery.list(&upstream_list(2, false, "leaving", &[one.address]));
+    discovery.answer_with_list(&upstream_list(2, false, "leaving", &[draining.address]));
     sleep(300 * MS);
-    let before = one.requests().len();
-    assert!(before > 0);
+    let requests_before = draining.take_requests().len();
+    assert!(requests_before > 0);
     for n in 0..20 {
-        assert_eq!(balancer.ask(&format!("b{n}"), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("b{n}"), "order").status(), "200");
     }
-    assert_eq!(one.requests().len(), 0);
+    assert_eq!(draining.take_requests().len(), 0);
 }
 
-/// The danger is a request that waits for who says nothing, and a connection that is never given back.
+/// Guards against a request that waits for a load probe, and against a connection that an unanswered probe holds for
+/// ever.
 #[test]
-fn a_probe_that_never_ends_delays_no_answer_and_holds_no_connection() {
-    let upstream = Upstream::start(Habit::TellsNothing("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"));
-    let plan = Plan::with(&[&upstream]);
-    let asking =
-        plan.configuration().replace("\"seed\"", "\"probe\":{\"path\":\"/load\",\"within_ms\":300},\"seed\"");
-    let balancer = plan.start_with(&asking.replace("\"RetryAfter\"", "\"Probing\":true,\"RetryAfter\""));
-    let asked = Stopwatch::start(&balancer);
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-    assert!(asked.elapsed() < 290 * MS, "{:?}", asked.elapsed());
+fn an_unanswered_probe_delays_no_answer_and_its_connection_is_closed() {
+    let upstream =
+        Upstream::start(UpstreamBehavior::IgnoreLoadProbes("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"));
+    let options = BalancerOptions::new(&[&upstream]);
+    let with_probe = options
+        .configuration()
+        .replace("\"seed\"", "\"probe\":{\"path\":\"/load\",\"within_ms\":300},\"seed\"");
+    let balancer =
+        options.start_with(&with_probe.replace("\"RetryAfter\"", "\"Probing\":true,\"RetryAfter\""));
+    let stopwatch = Stopwatch::start(&balancer);
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+    assert!(stopwatch.elapsed() < 290 * MS, "{:?}", stopwatch.elapsed());
     let mut probes = 0;
     loop {
-        match upstream.next() {
-            Seen::Request(request) => probes += u32::from(request.head.starts_with("GET /load HTTP/1.1\n")),
-            Seen::Closed => break,
-            Seen::Connected => {}
+        match upstream.next_event() {
+            UpstreamEvent::Request(request) => {
+                probes += u32::from(request.head.starts_with("GET /load HTTP/1.1\n"))
+            }
+            UpstreamEvent::Closed => break,
+            UpstreamEvent::Connected => {}
         }
     }
-    assert!(asked.elapsed() < 1000 * MS, "{:?}", asked.elapsed());
+    assert!(stopwatch.elapsed() < 1000 * MS, "{:?}", stopwatch.elapsed());
     assert_eq!(probes, 1);
 }
 
-/// The danger is a program that ends at the signal, or goes on listening to who knows nothing any more.
+/// Guards against a program that exits at SIGHUP, or that goes on calling a discovery server which is no longer in use.
 #[test]
-fn a_configuration_read_anew_moves_discovery_in_mid_call_and_a_faulty_one_changes_nothing() {
-    let (one, two) = (Upstream::start(HELLO), Upstream::start(HELLO));
-    let (before, after) = (Discovery::start(), Discovery::start());
-    let mut plan = Plan::with(&[&one]);
-    plan.discovery = before.address;
-    let balancer = plan.start();
-    let mut client = balancer.client();
-    assert_eq!(client.ask("a1", "order").status(), "200");
-    let called = |discovery: &Discovery| discovery.told.lock().unwrap().calls.len();
-    wait_until("the watch stands", || called(&before) == 1);
-    balancer.reconfigure(&plan.configuration().replace("\"seed\"", "\"seeds\""));
+fn reloading_moves_discovery_during_a_call_and_an_invalid_file_changes_nothing() {
+    let (old_upstream, new_upstream) = (Upstream::start(ANSWER_HELLO), Upstream::start(ANSWER_HELLO));
+    let (old_discovery, new_discovery) = (Discovery::start(), Discovery::start());
+    let mut options = BalancerOptions::new(&[&old_upstream]);
+    options.discovery = old_discovery.address;
+    let balancer = options.start();
+    let mut client = balancer.connect();
+    assert_eq!(client.request("a1", "order").status(), "200");
+    let call_count = |discovery: &Discovery| discovery.state.lock().unwrap().calls.len();
+    wait_until("a watch call is pending", || call_count(&old_discovery) == 1);
+    balancer.reconfigure(&options.configuration().replace("\"seed\"", "\"seeds\""));
     sleep(100 * MS);
-    assert_eq!(client.ask("a2", "order").status(), "200");
-    plan.discovery = after.address;
-    balancer.reconfigure(&plan.configuration().replace("\"memory_mb\":192", "\"memory_mb\":96"));
-    after.list(&upstream_list(1, true, "active", &[two.address]));
-    wait_until("the new one is watched", || called(&after) == 2);
-    assert_eq!(client.ask("a3", "order").status(), "200");
-    assert_eq!(called(&before), 1);
-    assert_eq!((one.asked(), two.asked()), (vec!["a1".into(), "a2".into()], vec!["a3".to_string()]));
-    balancer.ends_having_said(&[
+    assert_eq!(client.request("a2", "order").status(), "200");
+    options.discovery = new_discovery.address;
+    balancer.reconfigure(&options.configuration().replace("\"memory_mb\":192", "\"memory_mb\":96"));
+    new_discovery.answer_with_list(&upstream_list(1, true, "active", &[new_upstream.address]));
+    wait_until("the new discovery is watched", || call_count(&new_discovery) == 2);
+    assert_eq!(client.request("a3", "order").status(), "200");
+    assert_eq!(call_count(&old_discovery), 1);
+    assert_eq!(
+        (old_upstream.take_request_ids(), new_upstream.take_request_ids()),
+        (vec!["a1".into(), "a2".into()], vec!["a3".to_string()])
+    );
+    balancer.terminate_and_expect_log(&[
         "missing field `seed`",
         "limits: the change takes a restart",
         "read anew: discovery is at",
@@ -515,81 +546,82 @@
 }
 
 #[test]
-fn health_is_good_only_with_somebody_to_serve() {
-    let upstream = Upstream::start(HELLO);
+fn health_is_200_only_once_an_upstream_is_listed() {
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[]);
-    // On sockets the list is asked for, whatever the settings say of the simulator's wire.
-    (plan.discovery, plan.list) = (discovery.address, "push");
-    let balancer = plan.start();
-    assert_eq!(balancer.health(), "503");
-    discovery.list(&upstream_list(1, true, "active", &[upstream.address]));
-    wait_until("it is ready", || balancer.health() == "200");
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-}
-
-#[test]
-fn told_to_end_it_serves_who_still_comes_and_owes_nothing_when_it_exits() {
-    let slow = Upstream::start(Habit::Silent);
-    let balancer = Plan::with(&[&slow]).start();
-    let mut kept = balancer.client();
-    let mut under_way = balancer.client();
-    under_way.send(&Client::request("a1", "order", 1200));
-    while !matches!(slow.next(), Seen::Request(_)) {}
+    let mut options = BalancerOptions::new(&[]);
+    // On sockets the balancer calls discovery for the list, also where the simulator's setting is to push it.
+    (options.discovery, options.discovery_mode) = (discovery.address, "push");
+    let balancer = options.start();
+    assert_eq!(balancer.health_status(), "503");
+    discovery.answer_with_list(&upstream_list(1, true, "active", &[upstream.address]));
+    wait_until("the balancer is ready", || balancer.health_status() == "200");
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+}
+
+#[test]
+fn after_sigterm_new_requests_are_served_and_all_are_answered_before_exit() {
+    let silent = Upstream::start(UpstreamBehavior::Silent);
+    let balancer = BalancerOptions::new(&[&silent]).start();
+    let mut kept = balancer.connect();
+    let mut in_progress = balancer.connect();
+    in_progress.send(&Client::request_text("a1", "order", 1200));
+    while !matches!(silent.next_event(), UpstreamEvent::Request(_)) {}
     balancer.signal("TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     sleep(200 * MS);
-    assert_eq!(balancer.health(), "503");
-    // On a connection that it had before, and on a new one.
-    kept.send(&Client::request("a2", "order", 300));
-    let mut fresh = balancer.client();
-    fresh.send(&Client::request("a3", "order", 300));
-    for client in [&mut kept, &mut fresh, &mut under_way] {
+    assert_eq!(balancer.health_status(), "503");
+    // One request on a connection from before the signal, one on a new connection.
+    kept.send(&Client::request_text("a2", "order", 300));
+    let mut fresh = balancer.connect();
+    fresh.send(&Client::request_text("a3", "order", 300));
+    for client in [&mut kept, &mut fresh, &mut in_progress] {
         let answer = client.read().expect("a final answer");
         assert_eq!((answer.status(), answer.field("Connection")), ("502", None));
     }
-    // The danger is a client with nowhere to go, where the other balancers are just restarting too.
-    assert!((1000 * MS..1500 * MS).contains(&told.elapsed()), "{:?}", told.elapsed());
-    kept.send(&Client::request("a4", "order", 1000));
+    // The balancer serves on after the signal, because the other balancers may be restarting at the same time and a
+    // client would have none to go to.
+    assert!((1000 * MS..1500 * MS).contains(&signalled.elapsed()), "{:?}", signalled.elapsed());
+    kept.send(&Client::request_text("a4", "order", 1000));
     let answer = kept.read().expect("a final answer");
     assert_eq!((answer.status(), answer.field("Connection")), ("502", Some("close")));
-    assert!([kept, fresh, under_way].iter_mut().all(Client::is_closed));
-    let (status, log) = balancer.ended();
+    assert!([kept, fresh, in_progress].iter_mut().all(Client::closes_within_timeout));
+    let (status, log) = balancer.wait_for_exit();
     assert!(status.success(), "{status}: {log}");
-    assert!((1900 * MS..2600 * MS).contains(&told.elapsed()), "{:?}", told.elapsed());
+    assert!((1900 * MS..2600 * MS).contains(&signalled.elapsed()), "{:?}", signalled.elapsed());
 }
 
 #[test]
-fn told_to_end_it_answers_in_time_even_a_client_that_would_wait_longer() {
-    let silent = Upstream::start(Habit::Silent);
-    let balancer = Plan::with(&[&silent]).start();
-    let mut client = balancer.client();
-    client.send(&Client::request("a1", "order", 30_000));
-    while !matches!(silent.next(), Seen::Request(_)) {}
+fn after_sigterm_a_request_with_a_long_deadline_is_answered_before_exit() {
+    let silent = Upstream::start(UpstreamBehavior::Silent);
+    let balancer = BalancerOptions::new(&[&silent]).start();
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("a1", "order", 30_000));
+    while !matches!(silent.next_event(), UpstreamEvent::Request(_)) {}
     balancer.signal("TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     assert_eq!(client.read().expect("a final answer").status(), "502");
-    assert!(balancer.ended().0.success());
-    assert!(told.elapsed() < 2600 * MS, "{:?}", told.elapsed());
+    assert!(balancer.wait_for_exit().0.success());
+    assert!(signalled.elapsed() < 2600 * MS, "{:?}", signalled.elapsed());
 }
 
 #[test]
-fn told_to_end_with_idle_clients_it_is_gone_before_it_is_killed() {
-    let upstream = Upstream::start(HELLO);
-    let balancer = Plan::with(&[&upstream]).start();
-    let mut idle = balancer.client();
-    idle.ask("a1", "order");
+fn after_sigterm_the_program_exits_in_time_with_idle_clients() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let balancer = BalancerOptions::new(&[&upstream]).start();
+    let mut idle = balancer.connect();
+    idle.request("a1", "order");
     balancer.signal("TERM");
-    let told = Instant::now();
-    assert!(idle.is_closed());
-    assert!(balancer.ended().0.success());
-    assert!((1900 * MS..2600 * MS).contains(&told.elapsed()), "{:?}", told.elapsed());
+    let signalled = Instant::now();
+    assert!(idle.closes_within_timeout());
+    assert!(balancer.wait_for_exit().0.success());
+    assert!((1900 * MS..2600 * MS).contains(&signalled.elapsed()), "{:?}", signalled.elapsed());
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
-    let plan = Plan::with(&[]);
-    let good = plan.configuration();
+fn configuration_errors_name_their_key() {
+    let options = BalancerOptions::new(&[]);
+    let valid = options.configuration();
     for (from, to, key) in [
         ("\"FallNs\":2000000000,", "", "settings: Rules: missing field `FallNs`"),
         ("\"memory_mb\":192", "\"memory_mb\":1", "limits.memory_mb: 1 are too few"),
@@ -605,21 +637,22 @@
         ("\"seed\"", "\"probe\":{\"path\":\"/l\"},\"seed\"", "Limits.Probing: false: true is accepted"),
         ("\"listen\":\"127.0.0.1:0\",", "", "listen is missing, and RELAY_LISTEN is not set"),
     ] {
-        assert!(good.contains(from), "{from}");
-        let (mut child, mut log) = launch(&place(&good.replacen(from, to, 1)), 1024);
+        assert!(valid.contains(from), "{from}");
+        let (mut child, mut log) = launch(&write_configuration(&valid.replacen(from, to, 1)), 1024);
         assert_eq!(child.wait().unwrap().code(), Some(2), "{key}");
         let mut text = String::new();
         log.read_to_string(&mut text).unwrap();
         assert!(text.contains(key), "{key}: {text}");
     }
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address: SocketAddr = taken.local_addr().unwrap();
-    let (mut child, _log) = launch(&place(&good.replacen("127.0.0.1:0", &address.to_string(), 1)), 1024);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address: SocketAddr = listener.local_addr().unwrap();
+    let (mut child, _log) =
+        launch(&write_configuration(&valid.replacen("127.0.0.1:0", &address.to_string(), 1)), 1024);
     assert_eq!(child.wait().unwrap().code(), Some(1));
 }
 
 #[test]
-fn the_example_of_a_balancer_behind_control_servers_has_no_fault() {
+fn the_example_configuration_with_control_servers_is_valid() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/control/balancer.json");
     let program = std::process::Command::new(env!("CARGO_BIN_EXE_pondlb-server"))
         .env_clear()
@@ -627,33 +660,35 @@
         .output()
         .unwrap();
     assert_eq!(program.status.code(), Some(0), "{}", String::from_utf8_lossy(&program.stderr));
-    let said = String::from_utf8(program.stdout).unwrap();
-    assert!(said.contains("follow 127.0.0.1:9101, 127.0.0.1:9100"), "{said}");
-}
-
-#[test]
-fn the_command_line_says_all_faults_of_a_file_and_what_a_key_means() {
-    let mut plan = Plan::with(&[]);
-    plan.discovery = SocketAddr::from(([127, 0, 0, 1], 9));
-    let good = plan.configuration();
-    let bad =
-        good.replacen("8c1f30d27a5be964", "seed", 1).replacen("\"memory_mb\":192", "\"memory_mb\":1", 1);
-    let (good, bad) = (place(&good), place(&bad));
-    let mut trace = String::new();
-    for line in [
-        vec!["check", good.to_str().unwrap()],
-        vec!["check", bad.to_str().unwrap()],
+    let output = String::from_utf8(program.stdout).unwrap();
+    assert!(output.contains("follow 127.0.0.1:9101, 127.0.0.1:9100"), "{output}");
+}
+
+#[test]
+fn check_reports_all_errors_of_a_file_and_explain_describes_a_key() {
+    let mut options = BalancerOptions::new(&[]);
+    options.discovery = SocketAddr::from(([127, 0, 0, 1], 9));
+    let valid = options.configuration();
+    let invalid =
+        valid.replacen("8c1f30d27a5be964", "seed", 1).replacen("\"memory_mb\":192", "\"memory_mb\":1", 1);
+    let (valid, invalid) = (write_configuration(&valid), write_configuration(&invalid));
+    let mut transcript = String::new();
+    for arguments in [
+        vec!["check", valid.to_str().unwrap()],
+        vec!["check", invalid.to_str().unwrap()],
         vec!["check", "/nowhere"],
         vec!["check"],
         vec!["explain", "settings.Limits.MaxOpen"],
         vec!["explain", "sockets"],
         vec!["explain", "sokets"],
     ] {
-        let program =
-            std::process::Command::new(env!("CARGO_BIN_EXE_pondlb-server")).env_clear().args(&line).output();
-        let out = program.unwrap();
-        let said = String::from_utf8([out.stdout, out.stderr].concat()).unwrap();
-        trace += &format!("{}: {}\n", out.status.code().unwrap(), said.trim());
+        let program = std::process::Command::new(env!("CARGO_BIN_EXE_pondlb-server"))
+            .env_clear()
+            .args(&arguments)
+            .output();
+        let output = program.unwrap();
+        let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+        transcript += &format!("{}: {}\n", output.status.code().unwrap(), text.trim());
     }
     expect![[r#"
         0: n0 would listen on 127.0.0.1:0 and ask 127.0.0.1:9
@@ -666,156 +701,161 @@
         0: limits.sockets: descriptors; bounds the connections (where nothing is said: 1024)
         2: sokets: no such key; `explain` by itself lists them
     "#]]
-    .assert_eq(&trace);
+    .assert_eq(&transcript);
 }
 
 #[test]
-fn a_remembered_list_of_thousands_most_of_them_gone_serves_until_the_list_comes() {
-    let (upstream, discovery) = (Upstream::start(HELLO), Discovery::start());
-    let mut plan = Plan::with(&[]);
-    plan.discovery = discovery.address;
-    let gone = nobody();
-    let list = long_upstream_list(0, (0..5000).map(|n| (n % 4990, gone)));
+fn a_known_list_of_thousands_of_dead_upstreams_is_replaced_by_discovery() {
+    let (upstream, discovery) = (Upstream::start(ANSWER_HELLO), Discovery::start());
+    let mut options = BalancerOptions::new(&[]);
+    options.discovery = discovery.address;
+    let dead = refusing_address();
+    let known = long_upstream_list(0, (0..5000).map(|n| (n % 4990, dead)));
     let start = Instant::now();
     let balancer =
-        plan.start_with(&plan.configuration().replace(&upstream_list(0, true, "active", &[]), &list));
-    assert_eq!(balancer.health(), "200");
-    // Nobody who is remembered takes a connection: an order never ran and is rejected in its time.
-    assert_eq!(balancer.ask("o1", "order").status(), "503");
+        options.start_with(&options.configuration().replace(&upstream_list(0, true, "active", &[]), &known));
+    assert_eq!(balancer.health_status(), "200");
+    // All upstreams of the known list refuse connections: the request was never sent and is rejected before its
+    // deadline.
+    assert_eq!(balancer.request("o1", "order").status(), "503");
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
-    // One that names each upstream twice is not taken.
-    let twice = [upstream.address, upstream.address];
-    discovery.list(&upstream_list(2, true, "active", &twice));
-    discovery.list(&upstream_list(2, true, "active", &twice[..1]));
-    wait_until("the list counts", || {
-        balancer.ask(&format!("b{}", start.elapsed().as_micros()), "browse").status() == "200"
+    // A list that names an upstream twice is rejected.
+    let duplicated = [upstream.address, upstream.address];
+    discovery.answer_with_list(&upstream_list(2, true, "active", &duplicated));
+    discovery.answer_with_list(&upstream_list(2, true, "active", &duplicated[..1]));
+    wait_until("the list is applied", || {
+        balancer.request(&format!("b{}", start.elapsed().as_micros()), "browse").status() == "200"
     });
-    assert_eq!(balancer.ask("o2", "order").status(), "200");
-    assert!(balancer.peak_kb() < 24 << 10, "{}", balancer.peak_kb());
+    assert_eq!(balancer.request("o2", "order").status(), "200");
+    assert!(balancer.peak_resident_kib() < 24 << 10, "{} KiB", balancer.peak_resident_kib());
 }
 
 #[test]
-fn a_configuration_cut_short_changes_nothing_and_a_dead_discovery_keeps_the_list() {
-    let (upstream, discovery) = (Upstream::start(HELLO), Discovery::start());
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
-    let calls = || discovery.told.lock().unwrap().calls.len();
-    wait_until("the watch stands", || calls() == 1);
-    let whole = plan.configuration();
-    balancer.reconfigure(&whole[..whole.len() / 2]);
+fn an_invalid_configuration_changes_nothing_and_an_unreachable_discovery_keeps_the_list() {
+    let (upstream, discovery) = (Upstream::start(ANSWER_HELLO), Discovery::start());
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
+    let call_count = || discovery.state.lock().unwrap().calls.len();
+    wait_until("a watch call is pending", || call_count() == 1);
+    let valid = options.configuration();
+    balancer.reconfigure(&valid[..valid.len() / 2]);
     sleep(50 * MS);
-    balancer.reconfigure(&whole.replace("\"discovery\"", "\"undiscovered\""));
+    balancer.reconfigure(&valid.replace("\"discovery\"", "\"undiscovered\""));
     sleep(50 * MS);
-    // The old watch still stands: what it tells counts.
-    discovery.list(&upstream_list(2, false, "active", &[upstream.address]));
-    wait_until("the watch goes on", || calls() == 2);
-    plan.discovery = nobody();
-    balancer.reconfigure(&plan.configuration());
+    // The earlier watch is still in use: its answer is applied.
+    discovery.answer_with_list(&upstream_list(2, false, "active", &[upstream.address]));
+    wait_until("the watch continues", || call_count() == 2);
+    options.discovery = refusing_address();
+    balancer.reconfigure(&options.configuration());
     sleep(50 * MS);
     for n in 0..5 {
-        assert_eq!(balancer.ask(&format!("a{n}"), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("a{n}"), "order").status(), "200");
     }
-    balancer.ends_having_said(&["EOF while parsing", "discovery is missing", "can't be reached"]);
+    balancer.terminate_and_expect_log(&["EOF while parsing", "discovery is missing", "can't be reached"]);
 }
 
 #[test]
-fn a_discovery_that_turns_all_away_is_asked_ever_more_rarely_and_drains_count_once_it_answers() {
-    let (upstream, other) = (Upstream::start(HELLO), Upstream::start(HELLO));
+fn calls_to_a_refusing_discovery_back_off_and_drains_take_effect_once_it_answers() {
+    let (upstream, other) = (Upstream::start(ANSWER_HELLO), Upstream::start(ANSWER_HELLO));
     let discovery = Discovery::start();
-    let mut plan = Plan::with(&[&upstream, &other]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
+    let mut options = BalancerOptions::new(&[&upstream, &other]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
     let start = Instant::now();
-    let calls = || discovery.told.lock().unwrap().calls.len();
-    let mut turned_away = 0;
+    let call_count = || discovery.state.lock().unwrap().calls.len();
+    let mut refused_calls = 0;
     while start.elapsed() < 4 * Duration::from_secs(1) {
-        if calls() > turned_away {
-            turned_away = calls();
-            discovery.answer("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        if call_count() > refused_calls {
+            refused_calls = call_count();
+            discovery.answer_call("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
-        assert_eq!(balancer.ask(&format!("a{}", start.elapsed().as_micros()), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("a{}", start.elapsed().as_micros()), "order").status(), "200");
         sleep(20 * MS);
     }
-    assert!((2..=8).contains(&turned_away), "{turned_away}");
-    discovery.list(&upstream_list(2, true, "leaving", &[other.address]));
+    assert!((2..=8).contains(&refused_calls), "{refused_calls}");
+    discovery.answer_with_list(&upstream_list(2, true, "leaving", &[other.address]));
     sleep(500 * MS);
-    let _before = (upstream.requests(), other.requests());
-    assert_eq!(balancer.ask("late", "order").status(), "503");
-    assert_eq!((upstream.requests().len(), other.requests().len()), (0, 0));
+    let _before = (upstream.take_requests(), other.take_requests());
+    assert_eq!(balancer.request("late", "order").status(), "503");
+    assert_eq!((upstream.take_requests().len(), other.take_requests().len()), (0, 0));
 }
 
-const LARGE_FLEET: usize = 24_000;
+/// The number of upstreams in the lists of a large fleet.
+const LARGE_FLEET_UPSTREAMS: usize = 24_000;
 
-/// The danger is a balancer that can never serve a large fleet, and asks for its list without end.
+/// Guards against a limit on lists under which a balancer can never serve a large fleet and calls for its list for
+/// ever.
 #[test]
-fn a_list_of_24_000_upstreams_is_taken_and_served_from() {
-    let (upstream, discovery) = (Upstream::start(HELLO), Discovery::start());
-    let mut plan = Plan::with(&[]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start();
-    assert_eq!(balancer.health(), "503");
-    let list = long_upstream_list(1, (0..LARGE_FLEET).map(|n| (n, upstream.address)));
+fn a_list_of_24_000_upstreams_is_accepted_and_served_from() {
+    let (upstream, discovery) = (Upstream::start(ANSWER_HELLO), Discovery::start());
+    let mut options = BalancerOptions::new(&[]);
+    options.discovery = discovery.address;
+    let balancer = options.start();
+    assert_eq!(balancer.health_status(), "503");
+    let list = long_upstream_list(1, (0..LARGE_FLEET_UPSTREAMS).map(|n| (n, upstream.address)));
     assert!(list.len() > 2_000_000, "{}", list.len());
-    discovery.list(&list);
-    wait_until("it is ready", || balancer.health() == "200");
+    discovery.answer_with_list(&list);
+    wait_until("the balancer is ready", || balancer.health_status() == "200");
     for n in 0..20 {
-        assert_eq!(balancer.ask(&format!("a{n}"), "order").status(), "200");
+        assert_eq!(balancer.request(&format!("a{n}"), "order").status(), "200");
     }
-    assert!(balancer.peak_kb() < 192 * 1024, "{} KiB", balancer.peak_kb());
+    assert!(balancer.peak_resident_kib() < 192 * 1024, "{} KiB", balancer.peak_resident_kib());
 }
 
 #[test]
-fn a_list_too_long_for_the_memory_is_asked_for_ever_more_rarely_until_it_is_short() {
-    let (upstream, discovery) = (Upstream::start(HELLO), Discovery::start());
-    let mut plan = Plan::with(&[]);
-    (plan.discovery, plan.memory_mb) = (discovery.address, 16);
-    let balancer = plan.start();
-    let long = long_upstream_list(1, (0..LARGE_FLEET).map(|n| (n, upstream.address)));
-    let calls = || discovery.told.lock().unwrap().calls.len();
-    discovery.list(&long);
-    let (start, mut refused) = (Instant::now(), 1);
+fn calls_back_off_while_the_list_exceeds_the_memory_limit() {
+    let (upstream, discovery) = (Upstream::start(ANSWER_HELLO), Discovery::start());
+    let mut options = BalancerOptions::new(&[]);
+    (options.discovery, options.memory_mb) = (discovery.address, 16);
+    let balancer = options.start();
+    let long_list = long_upstream_list(1, (0..LARGE_FLEET_UPSTREAMS).map(|n| (n, upstream.address)));
+    let call_count = || discovery.state.lock().unwrap().calls.len();
+    discovery.answer_with_list(&long_list);
+    let (start, mut refused_lists) = (Instant::now(), 1);
     while start.elapsed() < Duration::from_secs(4) {
-        if calls() > refused {
-            refused = calls();
-            discovery.list(&long);
+        if call_count() > refused_lists {
+            refused_lists = call_count();
+            discovery.answer_with_list(&long_list);
         }
         sleep(10 * MS);
     }
-    // The waits are 0.75 to 1 s, 1.5 to 2 s, 3 to 4 s.
-    assert!((2..=3).contains(&refused), "{refused}");
-    assert_eq!(balancer.health(), "503");
-    discovery.list(&upstream_list(2, true, "active", &[upstream.address]));
-    wait_until("it is ready", || balancer.health() == "200");
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-    let refusal = format!("a list of {} bytes is refused; limits.memory_mb allows for 1048576", long.len());
-    balancer.ends_having_said(&[&refusal]);
+    // The backoff delays are 0.75 to 1 s, 1.5 to 2 s and 3 to 4 s.
+    assert!((2..=3).contains(&refused_lists), "{refused_lists}");
+    assert_eq!(balancer.health_status(), "503");
+    discovery.answer_with_list(&upstream_list(2, true, "active", &[upstream.address]));
+    wait_until("the balancer is ready", || balancer.health_status() == "200");
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+    let refusal =
+        format!("a list of {} bytes is refused; limits.memory_mb allows for 1048576", long_list.len());
+    balancer.terminate_and_expect_log(&[&refusal]);
 }
 
-/// A class as the file of a plan would have it.
+/// A class in the format of the configuration file.
 fn class(name: &str, effect: &str, sla_ms: u64) -> String {
     format!(
         r#"{{"Name":"{name}","Effect":"{effect}","SlaTimeNs":{sla_ms}000000,"ExpiryNs":2000000000,"Value":1.0}}"#
     )
 }
 
-/// The configuration of a plan with other classes.
-fn with_classes(plan: &Plan, classes: &[String]) -> String {
-    let text = plan.configuration();
-    let (before, _) = text.split_once("\"Schemes\":").expect("the plan has classes");
+/// The configuration of these options with other classes.
+fn with_classes(options: &BalancerOptions, classes: &[String]) -> String {
+    let text = options.configuration();
+    let (before, _) = text.split_once("\"Schemes\":").expect("the configuration has classes");
     format!("{before}\"Schemes\":[{}]}}}}", classes.join(","))
 }
 
-/// Whether requests may name the class. What asks it is refused all the same, and goes nowhere.
+/// Whether requests may name the class. The request that finds this out is invalid for another reason, so it is always
+/// refused and never forwarded.
 fn is_known(balancer: &Balancer, class: &str) -> bool {
-    let mut client = balancer.client();
-    client.send(&Client::request("asks", class, 2000).replace("2000m", "soon"));
-    let answer = client.read().expect("a refusal");
+    let mut client = balancer.connect();
+    client.send(&Client::request_text("asks", class, 2000).replace("2000m", "soon"));
+    let answer = client.read().expect("an answer");
     assert_eq!(answer.status(), "400");
     answer.body != "Req-Kind is unknown"
 }
 
-/// Reads the configuration anew, which has a class that the one before has not.
+/// Reloads the configuration and waits until it is in force. It must have this class, and the one before must not.
 fn reconfigure(balancer: &Balancer, configuration: &str, class: &str) {
     assert!(!is_known(balancer, class));
     balancer.reconfigure(configuration);
@@ -823,113 +863,115 @@
 }
 
 #[test]
-fn a_class_changed_in_the_file_has_its_new_effect_without_a_restart() {
-    let upstreams = [Upstream::start(Habit::Reset), Upstream::start(Habit::Reset)];
-    let plan = Plan::with(&[&upstreams[0], &upstreams[1]]);
-    let balancer = plan.start();
-    let requests = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
-    assert_eq!(balancer.ask("a1", "order").status(), "502");
-    assert_eq!(requests(), 1);
+fn reloading_changes_the_effect_of_a_class() {
+    let upstreams = [Upstream::start(UpstreamBehavior::Reset), Upstream::start(UpstreamBehavior::Reset)];
+    let options = BalancerOptions::new(&[&upstreams[0], &upstreams[1]]);
+    let balancer = options.start();
+    let take_request_count =
+        || upstreams.iter().map(|upstream| upstream.take_requests().len()).sum::<usize>();
+    assert_eq!(balancer.request("a1", "order").status(), "502");
+    assert_eq!(take_request_count(), 1);
     let changed =
-        with_classes(&plan, &[class("order", "idempotent", 1500), class("new", "idempotent", 1500)]);
+        with_classes(&options, &[class("order", "idempotent", 1500), class("new", "idempotent", 1500)]);
     reconfigure(&balancer, &changed, "new");
-    // Sent again where it may have run, and rejected where it can't be served.
-    assert_eq!(balancer.ask("a2", "order").status(), "503");
-    assert!(requests() > 1);
-    balancer.ends_having_said(&["configuration: 3 settings put in force"]);
+    // An idempotent request is retried although it may have run, and is rejected when no attempt succeeds.
+    assert_eq!(balancer.request("a2", "order").status(), "503");
+    assert!(take_request_count() > 1);
+    balancer.terminate_and_expect_log(&["configuration: 3 settings put in force"]);
 }
 
 #[test]
-fn a_deadline_changed_in_the_file_holds_for_requests_that_come_later() {
-    let upstream = Upstream::start(Habit::Silent);
-    let plan = Plan::with(&[&upstream]);
-    let balancer = plan.start();
+fn reloading_changes_the_sla_time_for_later_requests_only() {
+    let upstream = Upstream::start(UpstreamBehavior::Silent);
+    let options = BalancerOptions::new(&[&upstream]);
+    let balancer = options.start();
     let send = |id: &str| {
-        let mut client = balancer.client();
-        client.send(&Client::request(id, "order", 4000));
+        let mut client = balancer.connect();
+        client.send(&Client::request_text(id, "order", 4000));
         client
     };
-    // The upstream is sent as many as it may work on at once; the next one is held until its time is over.
-    let _silent: Vec<Client> = (0..4).map(|n| send(&format!("silent{n}"))).collect();
+    // These requests use up the upstream's concurrency limit; the next one is held until its deadline.
+    let _in_progress: Vec<Client> = (0..4).map(|n| send(&format!("silent{n}"))).collect();
     let started = Instant::now();
-    let mut before = send("before");
+    let mut earlier = send("before");
     sleep(50 * MS);
     let changed =
-        with_classes(&plan, &[class("order", "at_most_once", 300), class("new", "idempotent", 1500)]);
+        with_classes(&options, &[class("order", "at_most_once", 300), class("new", "idempotent", 1500)]);
     reconfigure(&balancer, &changed, "new");
     let changed_at = Instant::now();
-    let mut after = send("after");
-    assert_eq!(after.read().expect("a decline").status(), "503");
+    let mut later = send("after");
+    assert_eq!(later.read().expect("a rejection").status(), "503");
     assert!((200 * MS..900 * MS).contains(&changed_at.elapsed()), "{:?}", changed_at.elapsed());
-    assert_eq!(before.read().expect("a decline").status(), "503");
+    assert_eq!(earlier.read().expect("a rejection").status(), "503");
     assert!((1300 * MS..2100 * MS).contains(&started.elapsed()), "{:?}", started.elapsed());
-    assert_eq!(upstream.requests().len(), 4);
+    assert_eq!(upstream.take_requests().len(), 4);
 }
 
 #[test]
-fn requests_of_a_removed_class_are_refused_and_open_ones_end_normally() {
-    let upstream = Upstream::start(Habit::Told);
-    let plan = Plan::with(&[&upstream]);
-    let balancer = plan.start();
-    let mut open = balancer.client();
-    open.send(&Client::request("open", "browse", 2000));
-    wait_until("it is sent", || !upstream.requests().is_empty());
+fn reloading_removes_a_class_and_lets_its_open_requests_finish() {
+    let upstream = Upstream::start(UpstreamBehavior::AnswerOnDemand);
+    let options = BalancerOptions::new(&[&upstream]);
+    let balancer = options.start();
+    let mut open = balancer.connect();
+    open.send(&Client::request_text("open", "browse", 2000));
+    wait_until("the request is sent", || !upstream.take_requests().is_empty());
     let changed =
-        with_classes(&plan, &[class("order", "at_most_once", 1500), class("new", "at_most_once", 1500)]);
+        with_classes(&options, &[class("order", "at_most_once", 1500), class("new", "at_most_once", 1500)]);
     reconfigure(&balancer, &changed, "new");
     assert!(!is_known(&balancer, "browse"));
-    let refused = balancer.ask("a1", "browse");
+    let refused = balancer.request("a1", "browse");
     assert_eq!((refused.status(), &*refused.body), ("400", "Req-Kind is unknown"));
-    for (client, id, class) in [(&mut open, "", ""), (&mut balancer.client(), "a2", "new")] {
+    for (client, id, class) in [(&mut open, "", ""), (&mut balancer.connect(), "a2", "new")] {
         if !id.is_empty() {
-            client.send(&Client::request(id, class, 2000));
+            client.send(&Client::request_text(id, class, 2000));
         }
-        upstream.tell.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
+        upstream.answers.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").unwrap();
         assert_eq!(client.read().expect("an answer").status(), "200");
     }
 }
 
 #[test]
-fn settings_read_anew_that_are_faulty_or_the_same_change_nothing() {
-    let upstream = Upstream::start(HELLO);
-    let plan = Plan::with(&[&upstream]);
-    let balancer = plan.start();
+fn reloading_invalid_or_unchanged_settings_changes_nothing() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let options = BalancerOptions::new(&[&upstream]);
+    let balancer = options.start();
     let changed = |value: &str| {
-        let text = plan.configuration().replacen("\"browse\"", "\"other\"", 1);
+        let text = options.configuration().replacen("\"browse\"", "\"other\"", 1);
         text.replacen("\"Value\":1.0", &format!("\"Value\":{value}"), 1)
     };
-    assert_ne!(changed("1.0"), plan.configuration());
-    let restart = plan.configuration().replace("\"SelfIndex\":0", "\"SelfIndex\":1");
-    for text in [changed("-1.0"), plan.configuration(), restart.replace("\"Balancers\":1", "\"Balancers\":2")]
+    assert_ne!(changed("1.0"), options.configuration());
+    let restart = options.configuration().replace("\"SelfIndex\":0", "\"SelfIndex\":1");
+    for text in
+        [changed("-1.0"), options.configuration(), restart.replace("\"Balancers\":1", "\"Balancers\":2")]
     {
         balancer.reconfigure(&text);
         sleep(150 * MS);
     }
     assert!(is_known(&balancer, "browse") && !is_known(&balancer, "other"));
-    assert_eq!(balancer.ask("a1", "browse").status(), "200");
+    assert_eq!(balancer.request("a1", "browse").status(), "200");
     balancer.signal("TERM");
-    let (status, log) = balancer.ended();
+    let (status, log) = balancer.wait_for_exit();
     assert!(status.success());
     assert!(!log.contains("put in force"), "{log}");
-    for words in ["Schemes[0].Value: -1: 0 to", "settings.SelfIndex: the change takes a restart"] {
-        assert!(log.contains(words), "{words}: {log}");
+    for expected in ["Schemes[0].Value: -1: 0 to", "settings.SelfIndex: the change takes a restart"] {
+        assert!(log.contains(expected), "{expected}: {log}");
     }
 }
 
 #[test]
-fn limits_of_connections_changed_in_the_file_hold_for_those_that_stand_idle() {
-    let upstream = Upstream::start(HELLO);
-    let plan = Plan::with(&[&upstream]);
-    let balancer = plan.start();
-    assert_eq!(balancer.ask("a1", "order").status(), "200");
-    assert!(matches!(upstream.next(), Seen::Connected));
-    assert!(matches!(upstream.next(), Seen::Request(_)));
-    let idle = format!("\"ConnIdleNs\":{}000000", plan.idle_ms);
-    assert!(plan.idle_ms >= 10_000 && plan.configuration().contains(&idle));
-    balancer.reconfigure(&plan.configuration().replace(&idle, "\"ConnIdleNs\":1000000000"));
+fn reloading_the_idle_timeout_applies_to_connections_already_idle() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let options = BalancerOptions::new(&[&upstream]);
+    let balancer = options.start();
+    assert_eq!(balancer.request("a1", "order").status(), "200");
+    assert!(matches!(upstream.next_event(), UpstreamEvent::Connected));
+    assert!(matches!(upstream.next_event(), UpstreamEvent::Request(_)));
+    let idle_setting = format!("\"ConnIdleNs\":{}000000", options.conn_idle_ms);
+    assert!(options.conn_idle_ms >= 10_000 && options.configuration().contains(&idle_setting));
+    balancer.reconfigure(&options.configuration().replace(&idle_setting, "\"ConnIdleNs\":1000000000"));
     let changed_at = Instant::now();
-    let seen = upstream.next();
-    assert!(matches!(seen, Seen::Closed), "{seen:?}");
+    let event = upstream.next_event();
+    assert!(matches!(event, UpstreamEvent::Closed), "{event:?}");
     assert!(changed_at.elapsed() < 1500 * MS, "{:?}", changed_at.elapsed());
-    balancer.ends_having_said(&["configuration: 1 settings put in force"]);
+    balancer.terminate_and_expect_log(&["configuration: 1 settings put in force"]);
 }
--- a/crates/pondlb-server/tests/soak/run.rs
+++ b/crates/pondlb-server/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One seeded run.
+//! One seeded run: starts the processes, injects the faults and records what clients and upstreams see.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,40 +10,54 @@
 use crate::MS;
 use crate::discovery::{FaultyDiscovery, Mode};
 use crate::helper::*;
-use crate::ledger::{Asked, Drain, Ledger, Report, Run as Attempt};
-
-const BALANCERS: usize = 3;
-const UPSTREAMS: usize = 3;
-/// Clients of each balancer, each on a connection of its own.
-const CLIENTS: usize = 4;
-/// In every other run so many idle clients crowd each balancer.
-const CROWD: usize = 60;
-const SOCKETS: u64 = 128;
-const LENGTH: Duration = Duration::from_secs(13);
-/// The settings' longest deadline, and the least time that a planned restart leaves beyond it until SIGKILL.
+use crate::ledger::{ClientRequest, Drain, Execution, Ledger, Report};
+
+/// How many balancers run at a time.
+const BALANCER_COUNT: usize = 3;
+const UPSTREAM_COUNT: usize = 3;
+/// How many clients each balancer has, each on a connection of its own.
+const CLIENTS_PER_BALANCER: usize = 4;
+/// How many idle connections each balancer has in every other run.
+const MAX_IDLE_CONNECTIONS: usize = 60;
+/// The setting `limits.sockets` of each balancer.
+const SOCKET_LIMIT: u64 = 128;
+/// How long clients send requests.
+const RUN_DURATION: Duration = Duration::from_secs(13);
+/// The longest deadline that the settings allow.
 const LONGEST_DEADLINE: Duration = Duration::from_millis(2000);
-const UNTIL_KILL: Duration = Duration::from_millis(2000 + 700);
+/// The shortest time from SIGTERM to SIGKILL in a planned restart: the longest deadline and 700 ms.
+const TERM_TO_KILL: Duration = Duration::from_millis(2000 + 700);
 
 /// What a run does to one of its balancers.
 #[derive(Clone, Copy, Debug)]
-enum Signal {
-    /// SIGTERM, SIGKILL at its earliest, a new process.
+enum Fault {
+    /// SIGTERM, SIGKILL after [`TERM_TO_KILL`], then a new process.
     Restart,
+    /// SIGKILL, then a new process.
     Kill,
-    /// A new configuration, with the same discovery.
-    Reconfigure,
+    /// SIGHUP, to reload an unchanged configuration.
+    Reload,
 }
 
+/// A run, with the generator that its faults are drawn from.
 pub struct Run {
     seed: u64,
     rng: WyRand,
 }
 
-/// Where a balancer can be reached by now, and whether requests that end without an answer are its killer's fault.
-struct Seat {
+/// A fault and its time from the start of the run.
+#[derive(Clone, Copy, Debug)]
+struct ScheduledFault {
+    at: Duration,
+    kind: Fault,
+}
+
+/// One of the balancers of a run, whose process is replaced over time.
+struct BalancerSlot {
+    /// The address of the current process; `None` while there is none.
     address: std::sync::Mutex<Option<SocketAddr>>,
-    /// Counts up whenever the process in this seat is killed or has ended.
-    ends: AtomicU64,
+    /// How often a process was killed without SIGTERM. Requests that were open then may end without an answer.
+    kill_count: AtomicU64,
 }
 
 impl Run {
@@ -51,128 +65,145 @@
         Run { seed, rng: WyRand::new_seed(seed) }
     }
 
-    pub fn play(mut self) -> Report {
-        let upstreams: Vec<Upstream> = (0..UPSTREAMS).map(|_| Upstream::start(HELLO)).collect();
+    /// Executes the run and checks the rules.
+    pub fn execute(mut self) -> Report {
+        let upstreams: Vec<Upstream> = (0..UPSTREAM_COUNT).map(|_| Upstream::start(ANSWER_HELLO)).collect();
         let addresses: Vec<SocketAddr> = upstreams.iter().map(|upstream| upstream.address).collect();
         let discovery = FaultyDiscovery::start(&upstreams.iter().collect::<Vec<_>>());
-        let mut plan = Plan::with(&upstreams.iter().collect::<Vec<_>>());
-        (plan.discovery, plan.sockets) = (discovery.address, SOCKETS);
-        let configuration = plan.configuration().replace("\"Balancers\":1,", "\"Balancers\":91,");
+        let mut options = BalancerOptions::new(&upstreams.iter().collect::<Vec<_>>());
+        (options.discovery, options.sockets) = (discovery.address, SOCKET_LIMIT);
+        let configuration = options.configuration().replace("\"Balancers\":1,", "\"Balancers\":91,");
         let (ledger, is_over) = (Ledger::default(), AtomicBool::new(false));
-        let balancers: Vec<Balancer> = (0..BALANCERS).map(|_| plan.start_with(&configuration)).collect();
-        let seats: Vec<Seat> = (balancers.iter())
-            .map(|balancer| Seat { address: Some(balancer.address).into(), ends: AtomicU64::new(0) })
+        let balancers: Vec<Balancer> =
+            (0..BALANCER_COUNT).map(|_| options.start_with(&configuration)).collect();
+        let slots: Vec<BalancerSlot> = (balancers.iter())
+            .map(|balancer| BalancerSlot {
+                address: Some(balancer.address).into(),
+                kill_count: AtomicU64::new(0),
+            })
             .collect();
-        let is_crowded = self.seed.is_multiple_of(2);
-        let signals: Vec<Vec<(Duration, Signal)>> = (0..BALANCERS).map(|_| self.draw_signals()).collect();
-        let (fault_at, mode, drained) =
-            (self.draw_ms(1500, 4000), self.draw_mode(), self.rng.generate_range(0..UPSTREAMS));
+        let has_idle_connections = self.seed.is_multiple_of(2);
+        let balancer_faults: Vec<Vec<ScheduledFault>> =
+            (0..BALANCER_COUNT).map(|_| self.draw_faults()).collect();
+        let (discovery_fault_at, mode, drained) =
+            (self.draw_ms(1500, 4000), self.draw_mode(), self.rng.generate_range(0..UPSTREAM_COUNT));
         thread::scope(|scope| {
             for upstream in upstreams {
-                scope.spawn(|| note_runs(upstream, &ledger, &is_over));
+                scope.spawn(|| record_executions(upstream, &ledger, &is_over));
             }
-            for (number, (balancer, signals)) in balancers.into_iter().zip(signals).enumerate() {
-                let (plan, configuration, seat, ledger) = (&plan, &configuration, &seats[number], &ledger);
-                scope.spawn(move || signal(balancer, &signals, plan, configuration, seat, ledger));
+            for (number, (balancer, faults)) in balancers.into_iter().zip(balancer_faults).enumerate() {
+                let (options, configuration, slot, ledger) =
+                    (&options, &configuration, &slots[number], &ledger);
+                scope.spawn(move || inject_faults(balancer, &faults, options, configuration, slot, ledger));
             }
-            for (number, seat) in seats.iter().enumerate() {
-                for client in 0..CLIENTS {
+            for (number, slot) in slots.iter().enumerate() {
+                for client in 0..CLIENTS_PER_BALANCER {
                     let (ledger, is_over) = (&ledger, &is_over);
-                    let seed = self.seed * 1000 + (number * CLIENTS + client) as u64;
-                    scope.spawn(move || ask_on(seed, seat, ledger, is_over));
+                    let seed = self.seed * 1000 + (number * CLIENTS_PER_BALANCER + client) as u64;
+                    scope.spawn(move || run_client(seed, slot, ledger, is_over));
                 }
-                if is_crowded {
-                    scope.spawn(|| crowd(seat, &is_over));
+                if has_idle_connections {
+                    scope.spawn(|| hold_idle_connections(slot, &is_over));
                 }
             }
-            sleep(fault_at);
-            discovery.fall_silent();
-            discovery.turn(mode);
-            let tellable_since = discovery.drain(addresses[drained]);
-            ledger.drains.lock().unwrap().push(Drain { upstream: addresses[drained], tellable_since });
-            sleep(LENGTH - fault_at);
+            sleep(discovery_fault_at);
+            discovery.silence_open_connections();
+            discovery.set_mode(mode);
+            let announced_at = discovery.drain(addresses[drained]);
+            ledger.drains.lock().unwrap().push(Drain { upstream: addresses[drained], announced_at });
+            sleep(RUN_DURATION - discovery_fault_at);
             is_over.store(true, Ordering::Relaxed);
         });
         ledger.judge()
     }
 
-    fn draw_ms(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.rng.generate_range(least..most))
+    /// A random time of at least `min` and less than `end` milliseconds.
+    fn draw_ms(&mut self, min: u64, end: u64) -> Duration {
+        Duration::from_millis(self.rng.generate_range(min..end))
     }
 
-    /// Only faults under which discovery can be reached: an outage makes no change tellable.
+    /// Draws a mode in which discovery can be reached: in an outage it could announce no drain.
     fn draw_mode(&mut self) -> Mode {
-        [Mode::Answers, Mode::Refuses, Mode::Resets, Mode::Spoils][self.rng.generate_range(0..4usize)]
+        [Mode::Answers, Mode::Refuses, Mode::Resets, Mode::SendsInvalidLists]
+            [self.rng.generate_range(0..4usize)]
     }
 
-    /// Signals in series for one balancer, each at a time from the start.
-    fn draw_signals(&mut self) -> Vec<(Duration, Signal)> {
+    /// Draws the faults of one balancer, in the order of their times.
+    fn draw_faults(&mut self) -> Vec<ScheduledFault> {
         let mut at = Duration::ZERO;
-        let mut signals = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..3 {
             at += self.draw_ms(1200, 3500);
-            let kinds = [Signal::Restart, Signal::Restart, Signal::Kill, Signal::Reconfigure];
-            signals.push((at, kinds[self.rng.generate_range(0..kinds.len())]));
+            let kinds = [Fault::Restart, Fault::Restart, Fault::Kill, Fault::Reload];
+            faults.push(ScheduledFault { at, kind: kinds[self.rng.generate_range(0..kinds.len())] });
         }
-        signals
+        faults
     }
 }
 
-/// Notes what an upstream reads.
-fn note_runs(upstream: Upstream, ledger: &Ledger, is_over: &AtomicBool) {
+/// Records the requests that an upstream reads.
+fn record_executions(upstream: Upstream, ledger: &Ledger, is_over: &AtomicBool) {
     while !is_over.load(Ordering::Relaxed) {
-        let Ok(Seen::Request(request)) = upstream.seen.recv_timeout(20 * MS) else { continue };
-        let at = Instant::now();
+        let Ok(UpstreamEvent::Request(request)) = upstream.events.recv_timeout(20 * MS) else { continue };
+        let received_at = Instant::now();
         let id = request.field("Req-Id").unwrap_or_default().to_string();
-        let wait = request.field("Req-Deadline").and_then(|text| text.strip_suffix('u')?.parse().ok());
-        let run = Attempt { id, upstream: upstream.address, at, wait: wait.map(Duration::from_micros) };
-        ledger.runs.lock().unwrap().push(run);
+        let deadline_us = request.field("Req-Deadline").and_then(|text| text.strip_suffix('u')?.parse().ok());
+        let deadline = deadline_us.map(Duration::from_micros);
+        let execution = Execution { id, upstream: upstream.address, received_at, deadline };
+        ledger.executions.lock().unwrap().push(execution);
     }
 }
 
-/// Signals a balancer in series; what is killed or has ended is started anew in the same seat.
-fn signal(
+/// Applies the faults to a balancer one after the other. A process that was killed or has exited is replaced in the
+/// same slot.
+fn inject_faults(
     mut balancer: Balancer,
-    signals: &[(Duration, Signal)],
-    plan: &Plan,
+    faults: &[ScheduledFault],
+    options: &BalancerOptions,
     configuration: &str,
-    seat: &Seat,
+    slot: &BalancerSlot,
     ledger: &Ledger,
 ) {
     let start = Instant::now();
-    for (at, signal) in signals {
-        sleep(at.saturating_sub(start.elapsed()));
-        match signal {
-            Signal::Reconfigure => {
+    for fault in faults {
+        sleep(fault.at.saturating_sub(start.elapsed()));
+        match fault.kind {
+            Fault::Reload => {
                 balancer.reconfigure(configuration);
                 continue;
             }
-            Signal::Restart => {
+            Fault::Restart => {
                 balancer.signal("TERM");
-                let told = Instant::now();
-                while told.elapsed() < UNTIL_KILL && balancer.is_running() {
+                let terminated_at = Instant::now();
+                while terminated_at.elapsed() < TERM_TO_KILL && balancer.is_running() {
                     sleep(5 * MS);
                 }
                 if balancer.is_running() {
-                    ledger.odd_ends.lock().unwrap().push("a balancer was still there at SIGKILL".into());
+                    ledger
+                        .unexpected_exits
+                        .lock()
+                        .unwrap()
+                        .push("a balancer was still running at SIGKILL".into());
                 }
             }
-            Signal::Kill => seat.ends.store(seat.ends.load(Ordering::SeqCst) + 1, Ordering::SeqCst),
+            Fault::Kill => {
+                slot.kill_count.store(slot.kill_count.load(Ordering::SeqCst) + 1, Ordering::SeqCst)
+            }
         }
-        *seat.address.lock().unwrap() = None;
+        *slot.address.lock().unwrap() = None;
         drop(balancer);
-        // It remembers the list as the process before it had it, which may have been old.
-        balancer = plan.start_with(&configuration.replace("\"rev\":0,", "\"rev\":1,"));
-        *seat.address.lock().unwrap() = Some(balancer.address);
+        // The new process starts with the list that the previous one had, which may be outdated.
+        balancer = options.start_with(&configuration.replace("\"rev\":0,", "\"rev\":1,"));
+        *slot.address.lock().unwrap() = Some(balancer.address);
     }
-    sleep(LENGTH.saturating_sub(start.elapsed()) + LONGEST_DEADLINE);
+    sleep(RUN_DURATION.saturating_sub(start.elapsed()) + LONGEST_DEADLINE);
     if !balancer.is_running() {
-        ledger.odd_ends.lock().unwrap().push("a balancer ended by itself".into());
+        ledger.unexpected_exits.lock().unwrap().push("a balancer exited by itself".into());
     }
 }
 
-/// One client: a request after the other on one connection for as long as that stays open.
-fn ask_on(seed: u64, seat: &Seat, ledger: &Ledger, is_over: &AtomicBool) {
+/// One client, which sends requests one after the other on one connection for as long as that stays open.
+fn run_client(seed: u64, slot: &BalancerSlot, ledger: &Ledger, is_over: &AtomicBool) {
     let mut rng = WyRand::new_seed(seed);
     let mut connection: Option<Client> = None;
     for number in 0.. {
@@ -180,41 +211,50 @@
             return;
         }
         sleep(Duration::from_millis(rng.generate_range(10..80)));
-        let Some(address) = *seat.address.lock().unwrap() else { continue };
-        let has_rested = connection.is_some();
+        let Some(address) = *slot.address.lock().unwrap() else { continue };
+        let is_connection_reused = connection.is_some();
         let Some(mut client) = connection.take().or_else(|| connect(address)) else { continue };
         let class = if rng.generate_range(0..4u32) == 0 { "order" } else { "browse" };
         let id = format!("{class}-{seed}-{number}");
-        let wait = Duration::from_millis(rng.generate_range(300..2000));
-        let (ends, sent) = (seat.ends.load(Ordering::SeqCst), Instant::now());
-        let is_written = std::io::Write::write_all(
-            &mut client.0,
-            Client::request(&id, class, wait.as_millis() as u64).as_bytes(),
+        let deadline = Duration::from_millis(rng.generate_range(300..2000));
+        let (kill_count, sent_at) = (slot.kill_count.load(Ordering::SeqCst), Instant::now());
+        let written = std::io::Write::write_all(
+            &mut client.stream,
+            Client::request_text(&id, class, deadline.as_millis() as u64).as_bytes(),
         );
-        let answer = is_written.ok().and_then(|()| client.read());
-        let is_killed = seat.ends.load(Ordering::SeqCst) != ends;
+        let answer = written.ok().and_then(|()| client.read());
+        let is_balancer_killed = slot.kill_count.load(Ordering::SeqCst) != kill_count;
         let status = answer.as_ref().map(|answer| answer.status().to_string());
-        let asked = Asked { id, sent, wait, ended: Instant::now(), status, is_killed, has_rested };
-        ledger.asked.lock().unwrap().push(asked);
+        let request = ClientRequest {
+            id,
+            sent_at,
+            deadline,
+            ended_at: Instant::now(),
+            status,
+            is_balancer_killed,
+            is_connection_reused,
+        };
+        ledger.requests.lock().unwrap().push(request);
         let is_kept = answer.is_some_and(|answer| answer.field("Connection") != Some("close"));
         connection = is_kept.then_some(client);
     }
 }
 
+/// Opens a client connection; `None` if it is refused or takes too long.
 fn connect(address: SocketAddr) -> Option<Client> {
     let stream = TcpStream::connect_timeout(&address, 500 * MS).ok()?;
-    stream.set_read_timeout(Some(SOON)).ok()?;
-    Some(Client(stream))
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
+    Some(Client { stream })
 }
 
-/// Clients that connect and say nothing.
-fn crowd(seat: &Seat, is_over: &AtomicBool) {
+/// Opens connections that stay idle, and closes the oldest when there are more than [`MAX_IDLE_CONNECTIONS`].
+fn hold_idle_connections(slot: &BalancerSlot, is_over: &AtomicBool) {
     let mut idle = Vec::new();
     while !is_over.load(Ordering::Relaxed) {
-        if let Some(address) = *seat.address.lock().unwrap() {
+        if let Some(address) = *slot.address.lock().unwrap() {
             idle.extend(connect(address));
         }
-        if idle.len() > CROWD {
+        if idle.len() > MAX_IDLE_CONNECTIONS {
             idle.remove(0);
         }
         sleep(20 * MS);
--- a/crates/pondlb-server/tests/stale_list/mod.rs
+++ b/crates/pondlb-server/tests/stale_list/mod.rs
@@ -1,4 +1,6 @@
-//! Report 636fef: a list that discovery does not confirm in time, on real processes and connections.
+//! Tests for balancers whose list discovery does not confirm in time (issue 636fef), with real processes and
+//! connections: nothing may be sent to an upstream that drained meanwhile, and an outage of discovery must not stop
+//! traffic.
 
 mod discovery;
 
@@ -11,173 +13,184 @@
 use crate::MS;
 use crate::helper::*;
 
-/// What discovery has counts as told so long after it had it.
-const TOLD_WITHIN: Duration = Duration::from_millis(6000);
-/// The settings' grace, and the slack of limits on sockets.
-const GRACE_AND_SLACK: Duration = Duration::from_millis(500 + 50);
-/// How long a test looks on once nothing may be sent any more.
-const LOOKED_ON: Duration = Duration::from_millis(2500);
-const BETWEEN_REQUESTS: Duration = Duration::from_millis(40);
-
-/// A balancer among so many that it takes discovery for crowded easily.
-fn configuration(plan: &Plan) -> String {
-    plan.configuration().replace("\"Balancers\":1,", "\"Balancers\":91,")
+/// How long after a change at discovery a balancer must act on it, if discovery can be reached.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(6000);
+/// The setting `DrainGraceNs`, and the tolerance of time limits on sockets.
+const GRACE_AND_TOLERANCE: Duration = Duration::from_millis(500 + 50);
+/// How long a test continues after the time from which nothing may be sent.
+const OBSERVATION_TIME: Duration = Duration::from_millis(2500);
+/// The pause between two requests of a client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+
+/// The configuration of a balancer in a fleet of 91, which readily attributes refused calls to an overloaded discovery.
+fn configuration(options: &BalancerOptions) -> String {
+    options.configuration().replace("\"Balancers\":1,", "\"Balancers\":91,")
 }
 
-/// When requests came to an upstream and what clients were answered, while a client asked all the time.
+/// What an upstream and a client saw while the client sent requests continuously.
 #[derive(Debug, Default)]
-struct Served {
-    sent: Vec<Instant>,
-    /// Their status codes.
-    answers: Vec<String>,
+struct Traffic {
+    /// When requests arrived at the upstream.
+    arrivals: Vec<Instant>,
+    /// The status codes of the client's answers.
+    statuses: Vec<String>,
 }
 
-impl Served {
-    fn last_sent(&self) -> Instant {
-        *self.sent.last().expect("requests were sent")
+impl Traffic {
+    fn last_arrival(&self) -> Instant {
+        *self.arrivals.last().expect("requests were sent")
     }
 }
 
-/// Asks without end until `faults` has been played.
-fn serve_while(balancer: &Balancer, upstream: Upstream, faults: impl FnOnce()) -> Served {
+/// Sends requests continuously until `faults` returns.
+fn request_during(balancer: &Balancer, upstream: Upstream, faults: impl FnOnce()) -> Traffic {
     let is_over = AtomicBool::new(false);
     thread::scope(|scope| {
-        let asking = scope.spawn(|| {
-            let mut answers = Vec::new();
+        let client = scope.spawn(|| {
+            let mut statuses = Vec::new();
             for number in 0.. {
                 if is_over.load(Ordering::Relaxed) {
                     break;
                 }
-                let answer = balancer.ask(&format!("r{number}"), "browse");
-                answers.push(answer.status().to_string());
-                sleep(BETWEEN_REQUESTS);
+                let answer = balancer.request(&format!("r{number}"), "browse");
+                statuses.push(answer.status().to_string());
+                sleep(REQUEST_INTERVAL);
             }
-            answers
+            statuses
         });
-        let is_done = &is_over;
-        let seeing = scope.spawn(move || {
-            let mut sent = Vec::new();
-            while !is_done.load(Ordering::Relaxed) {
-                if let Ok(Seen::Request(_)) = upstream.seen.recv_timeout(20 * MS) {
-                    sent.push(Instant::now());
+        let is_over_ref = &is_over;
+        let observer = scope.spawn(move || {
+            let mut arrivals = Vec::new();
+            while !is_over_ref.load(Ordering::Relaxed) {
+                if let Ok(UpstreamEvent::Request(_)) = upstream.events.recv_timeout(20 * MS) {
+                    arrivals.push(Instant::now());
                 }
             }
-            sent
+            arrivals
         });
         faults();
         is_over.store(true, Ordering::Relaxed);
-        Served { sent: seeing.join().unwrap(), answers: asking.join().unwrap() }
+        Traffic { arrivals: observer.join().unwrap(), statuses: client.join().unwrap() }
     })
 }
 
-/// The watch falls silent, the upstream drains, and every call from then on comes to nothing in this way.
+/// The watch call is never answered, the upstream drains, and every later call fails as this mode says. Nothing may be
+/// sent to the upstream once the grace has passed.
 fn assert_nothing_is_sent_after_the_grace(mode: Mode) {
-    let upstream = Upstream::start(HELLO);
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = FaultyDiscovery::start(&[&upstream]);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start_with(&configuration(&plan));
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start_with(&configuration(&options));
     discovery.wait_for_watch();
-    let (draining, mut drained) = (upstream.address, Instant::now());
-    let served = serve_while(&balancer, upstream, || {
+    let (draining, mut drained_at) = (upstream.address, Instant::now());
+    let traffic = request_during(&balancer, upstream, || {
         sleep(500 * MS);
-        discovery.fall_silent();
-        discovery.turn(mode);
-        drained = discovery.drain(draining);
-        sleep(TOLD_WITHIN + GRACE_AND_SLACK + LOOKED_ON);
+        discovery.silence_open_connections();
+        discovery.set_mode(mode);
+        drained_at = discovery.drain(draining);
+        sleep(MAX_LIST_DELAY + GRACE_AND_TOLERANCE + OBSERVATION_TIME);
     });
-    let late = served.last_sent() - drained;
-    assert!(late <= TOLD_WITHIN + GRACE_AND_SLACK, "{mode:?}: sent {late:?} after the drain");
+    let last_sent_after = traffic.last_arrival() - drained_at;
+    assert!(
+        last_sent_after <= MAX_LIST_DELAY + GRACE_AND_TOLERANCE,
+        "{mode:?}: sent {last_sent_after:?} after the drain"
+    );
 }
 
 #[test]
-fn an_upstream_that_drained_while_calls_were_refused_gets_nothing_after_the_grace() {
+fn an_upstream_drained_while_calls_are_refused_gets_nothing_after_the_grace() {
     assert_nothing_is_sent_after_the_grace(Mode::Refuses);
 }
 
 #[test]
-fn an_upstream_that_drained_while_calls_were_reset_gets_nothing_after_the_grace() {
+fn an_upstream_drained_while_calls_are_reset_gets_nothing_after_the_grace() {
     assert_nothing_is_sent_after_the_grace(Mode::Resets);
 }
 
 #[test]
-fn an_upstream_that_drained_while_lists_were_spoilt_gets_nothing_after_the_grace() {
-    assert_nothing_is_sent_after_the_grace(Mode::Spoils);
+fn an_upstream_drained_while_lists_are_invalid_gets_nothing_after_the_grace() {
+    assert_nothing_is_sent_after_the_grace(Mode::SendsInvalidLists);
 }
 
-/// What a discovery at a new address has counts as told so long after SIGHUP.
-const MOVED_WITHIN: Duration = Duration::from_millis(4000);
+/// How long after SIGHUP a balancer must act on the list of a discovery at a new address.
+const MAX_LIST_DELAY_AFTER_MOVE: Duration = Duration::from_millis(4000);
 
 #[test]
-fn an_upstream_that_drained_as_discovery_moved_and_refused_calls_gets_nothing_after_the_grace() {
-    let upstream = Upstream::start(HELLO);
-    let (before, after) = (FaultyDiscovery::start(&[&upstream]), FaultyDiscovery::start(&[&upstream]));
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = before.address;
-    let balancer = plan.start_with(&configuration(&plan));
-    before.wait_for_watch();
-    plan.discovery = after.address;
-    let (draining, mut moved) = (upstream.address, Instant::now());
-    let served = serve_while(&balancer, upstream, || {
+fn an_upstream_drained_while_a_moved_discovery_refuses_calls_gets_nothing_after_the_grace() {
+    let upstream = Upstream::start(ANSWER_HELLO);
+    let (old_discovery, new_discovery) =
+        (FaultyDiscovery::start(&[&upstream]), FaultyDiscovery::start(&[&upstream]));
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = old_discovery.address;
+    let balancer = options.start_with(&configuration(&options));
+    old_discovery.wait_for_watch();
+    options.discovery = new_discovery.address;
+    let (draining, mut moved_at) = (upstream.address, Instant::now());
+    let traffic = request_during(&balancer, upstream, || {
         sleep(500 * MS);
-        after.turn(Mode::Refuses);
-        after.drain(draining);
-        moved = Instant::now();
-        balancer.reconfigure(&configuration(&plan));
-        sleep(MOVED_WITHIN + GRACE_AND_SLACK + LOOKED_ON);
+        new_discovery.set_mode(Mode::Refuses);
+        new_discovery.drain(draining);
+        moved_at = Instant::now();
+        balancer.reconfigure(&configuration(&options));
+        sleep(MAX_LIST_DELAY_AFTER_MOVE + GRACE_AND_TOLERANCE + OBSERVATION_TIME);
     });
-    let late = served.last_sent() - moved;
-    assert!(late <= MOVED_WITHIN + GRACE_AND_SLACK, "sent {late:?} after SIGHUP");
+    let last_sent_after = traffic.last_arrival() - moved_at;
+    assert!(
+        last_sent_after <= MAX_LIST_DELAY_AFTER_MOVE + GRACE_AND_TOLERANCE,
+        "sent {last_sent_after:?} after SIGHUP"
+    );
 }
 
-/// The list that a new process remembers is as old as the last word that the process before it had.
+/// The known list of a new process is as old as the last list that the previous process received.
 #[test]
-fn a_process_that_is_started_anew_sends_nothing_by_its_old_list_while_calls_are_refused() {
-    let upstream = Upstream::start(HELLO);
+fn a_restarted_process_sends_nothing_on_its_known_list_while_calls_are_refused() {
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = FaultyDiscovery::start(&[&upstream]);
-    discovery.turn(Mode::Refuses);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let remembered = configuration(&plan).replace("\"rev\":0,", "\"rev\":1,");
-    let balancer = plan.start_with(&remembered);
-    assert_eq!(balancer.health(), "503", "clients are better served elsewhere");
+    discovery.set_mode(Mode::Refuses);
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let with_known_version = configuration(&options).replace("\"rev\":0,", "\"rev\":1,");
+    let balancer = options.start_with(&with_known_version);
+    assert_eq!(balancer.health_status(), "503", "clients should use another balancer");
     for n in 0..20 {
-        assert_eq!(balancer.ask(&format!("early{n}"), "order").status(), "503");
+        assert_eq!(balancer.request(&format!("early{n}"), "order").status(), "503");
         sleep(50 * MS);
     }
-    assert_eq!(upstream.requests().len(), 0);
-    discovery.turn(Mode::Answers);
-    wait_until("it is ready", || balancer.health() == "200");
-    assert_eq!(balancer.ask("late", "browse").status(), "200");
+    assert_eq!(upstream.take_requests().len(), 0);
+    discovery.set_mode(Mode::Answers);
+    wait_until("the balancer is ready", || balancer.health_status() == "200");
+    assert_eq!(balancer.request("late", "browse").status(), "200");
 }
 
-/// Long enough for the longest wait, two calls that hang and the grace.
-const OUTAGE: Duration = Duration::from_secs(15);
+/// Long enough for the longest retry delay, two calls that hang and the grace.
+const OUTAGE_DURATION: Duration = Duration::from_secs(15);
 
-/// The danger is a fleet that stops because discovery has: what nobody could be told binds nobody.
+/// Guards against a fleet that stops serving because discovery has failed. While discovery cannot be reached, balancers
+/// cannot learn of changes and go on with the list that they have.
 fn assert_all_is_served_through_an_outage(mode: Mode) {
-    let upstream = Upstream::start(HELLO);
+    let upstream = Upstream::start(ANSWER_HELLO);
     let discovery = FaultyDiscovery::start(&[&upstream]);
-    let mut plan = Plan::with(&[&upstream]);
-    plan.discovery = discovery.address;
-    let balancer = plan.start_with(&configuration(&plan));
+    let mut options = BalancerOptions::new(&[&upstream]);
+    options.discovery = discovery.address;
+    let balancer = options.start_with(&configuration(&options));
     discovery.wait_for_watch();
-    let served = serve_while(&balancer, upstream, || {
+    let traffic = request_during(&balancer, upstream, || {
         sleep(500 * MS);
-        discovery.fall_silent();
-        discovery.turn(mode);
-        sleep(OUTAGE);
+        discovery.silence_open_connections();
+        discovery.set_mode(mode);
+        sleep(OUTAGE_DURATION);
     });
-    let refused = served.answers.iter().filter(|status| *status != "200").count();
-    assert_eq!(refused, 0, "{mode:?}: refused of {}", served.answers.len());
+    let failed = traffic.statuses.iter().filter(|status| *status != "200").count();
+    assert_eq!(failed, 0, "{mode:?}: failed of {} requests", traffic.statuses.len());
 }
 
 #[test]
-fn a_discovery_that_is_down_stops_nobody() {
+fn all_requests_are_served_while_discovery_is_down() {
     assert_all_is_served_through_an_outage(Mode::Down);
 }
 
 #[test]
-fn a_discovery_that_hangs_stops_nobody() {
+fn all_requests_are_served_while_discovery_hangs() {
     assert_all_is_served_through_an_outage(Mode::Hangs);
 }
