--- a/crates/pondlb-lab/src/balancers.rs
+++ b/crates/pondlb-lab/src/balancers.rs
@@ -14,9 +14,9 @@
 use tokio::process::Child;
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::child_process::command_killed_with_parent;
 use crate::fleet::Fleet;
-use crate::holding::held;
-use crate::http::Wire;
+use crate::http::HttpConnection;
 use crate::scenario::{Effect, Scenario};
 
 /// How long a balancer with a short list may take until it serves.
@@ -42,11 +42,11 @@
 
 /// A balancer's orderly end and its next start.
 #[derive(Clone, Copy, Debug)]
-pub struct Restart {
+pub struct RestartDurations {
     /// From SIGTERM to its end.
-    pub ending: Duration,
+    pub shutdown: Duration,
     /// From its next start until it serves.
-    pub starting: Duration,
+    pub startup: Duration,
 }
 
 impl Balancers {
@@ -85,7 +85,7 @@
 
     fn spawn(&self, number: u32) -> io::Result<Child> {
         let log = std::fs::File::options().create(true).append(true).open(self.file(number, "log"))?;
-        held(&self.program.path)?
+        command_killed_with_parent(&self.program.path)?
             .args(&self.program.arguments)
             .env("RELAY_CONFIG", self.file(number, "json"))
             .stdout(log.try_clone()?)
@@ -113,7 +113,7 @@
     }
 
     /// Killed outright, and started again with what it was given first.
-    pub async fn kill_and_start(&self, number: usize) -> io::Result<()> {
+    pub async fn kill_and_restart(&self, number: usize) -> io::Result<()> {
         self.take(number)?.kill().await?;
         self.put(number, self.spawn(number as u32)?);
         Ok(())
@@ -129,7 +129,7 @@
         number: usize,
         ready_within: Duration,
         ended: impl FnOnce(),
-    ) -> io::Result<Restart> {
+    ) -> io::Result<RestartDurations> {
         let mut child = self.take(number)?;
         let told = Instant::now();
         terminate(&child)?;
@@ -147,7 +147,7 @@
         let started = Instant::now();
         self.put(number, self.spawn(number as u32)?);
         self.ready(number, self.addresses[number], ready_within).await?;
-        Ok(Restart { ending, starting: started.elapsed() })
+        Ok(RestartDurations { shutdown: ending, startup: started.elapsed() })
     }
 
     fn take(&self, number: usize) -> io::Result<Child> {
@@ -174,12 +174,12 @@
     }
 
     /// Ids of their processes, of those that run.
-    pub fn processes(&self) -> Vec<u32> {
+    pub fn process_ids(&self) -> Vec<u32> {
         self.children.borrow().iter().flatten().filter_map(Child::id).collect()
     }
 
     /// Which have ended by themselves, and how.
-    pub fn ended(&self) -> Vec<(usize, String)> {
+    pub fn unexpected_exits(&self) -> Vec<(usize, String)> {
         let count = self.addresses.len();
         (0..count).filter_map(|number| Some((number, self.status(number).ok()??.to_string()))).collect()
     }
@@ -192,9 +192,9 @@
 }
 
 pub(crate) async fn is_ready(address: SocketAddr) -> io::Result<bool> {
-    let mut wire = Wire::new(TcpStream::connect(address).await?);
+    let mut wire = HttpConnection::new(TcpStream::connect(address).await?);
     wire.write("GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n").await?;
-    Ok(wire.answer().await?.is_some_and(|answer| answer.status == 200))
+    Ok(wire.read_response().await?.is_some_and(|answer| answer.status == 200))
 }
 
 /// What one balancer is told, in the platform's form.
@@ -217,17 +217,17 @@
         })
         .collect();
     // The settings allow all to ask; who has no `probe` of its own asks nobody all the same.
-    let asks = scenario.asking.contains(&number);
+    let asks = scenario.probing_balancers.contains(&number);
     let limits = json!({ "Cancelling": true, "ConnIdleNs": 15_000 * NS, "DialTimeoutNs": 250 * NS,
         "MaxOpen": 20_000, "MaxPostings": 3, "MaxRetryAfterNs": 2000 * NS, "RetryAfter": true,
         "SecondCopies": !asks, "Probing": true });
-    let rules = json!({ "ColdShare": rules.cold_share, "DrainGraceNs": rules.drain_grace_ms * NS,
-        "FallMultiple": rules.fall_multiple, "FallNs": rules.fall_ms * NS, "MustAskInNs": 10_000 * NS,
-        "WarmWithinNs": rules.warm_ms * NS });
+    let rules = json!({ "ColdShare": rules.initial_capacity_share, "DrainGraceNs": rules.drain_grace_ms * NS,
+        "FallMultiple": rules.collapse_load_factor, "FallNs": rules.collapse_window_ms * NS, "MustAskInNs": 10_000 * NS,
+        "WarmWithinNs": rules.warm_up_ms * NS });
     json!({
         "name": format!("lab-{number}"), "listen": listen.to_string(),
-        "discovery": fleet.discovery[number as usize].to_string(),
-        "seed": format!("{:x}", scenario.seed ^ (u64::from(number) + 1)), "known": fleet.known(number),
+        "discovery": fleet.discovery_addresses[number as usize].to_string(),
+        "seed": format!("{:x}", scenario.seed ^ (u64::from(number) + 1)), "known": fleet.initial_list(number),
         "probe": asks.then(|| json!({ "path": "/load", "within_ms": 100 })),
         "settings": {
             "Balancers": scenario.balancers, "SelfIndex": number, "MyZone": number as usize % zones.len(),
--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -11,7 +11,7 @@
 use clap::{Parser, ValueEnum};
 use pondlb_control::ChangesResponse;
 use pondlb_control_net::{ServerOptions, serve};
-use pondlb_lab::http::{Message, Wire, answer};
+use pondlb_lab::http::{HttpConnection, Message, format_response};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -83,13 +83,13 @@
 
 impl Spoiler {
     async fn forward(&self, follower: TcpStream) -> io::Result<()> {
-        let mut server = Wire::new(TcpStream::connect(self.server).await?);
-        let mut follower = Wire::new(follower);
-        while let Some(request) = follower.request().await? {
+        let mut server = HttpConnection::new(TcpStream::connect(self.server).await?);
+        let mut follower = HttpConnection::new(follower);
+        while let Some(request) = follower.read_request().await? {
             server.write(&format!("GET {} HTTP/1.1\r\nHost: planted\r\n\r\n", request.path)).await?;
-            let Some(message) = server.answer().await? else { return Ok(()) };
+            let Some(message) = server.read_response().await? else { return Ok(()) };
             let body = self.body(&request, &message);
-            follower.write(&answer(message.status, "", &body)).await?;
+            follower.write(&format_response(message.status, "", &body)).await?;
         }
         Ok(())
     }
--- a/crates/pondlb-lab/src/bin/pondlb-planted.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pondlb_lab::http::{Message, Wire, answer};
+use pondlb_lab::http::{HttpConnection, Message, format_response};
 use serde_json::Value;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -42,9 +42,9 @@
         loop {
             sleep(Duration::from_millis(100)).await;
             let Ok(stream) = TcpStream::connect(discovery).await else { continue };
-            let mut wire = Wire::new(stream);
+            let mut wire = HttpConnection::new(stream);
             let asked = wire.write("GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n").await;
-            if let (Ok(()), Ok(Some(list))) = (asked, wire.answer().await) {
+            if let (Ok(()), Ok(Some(list))) = (asked, wire.read_response().await) {
                 follower.targets.replace(targets(&serde_json::from_str(&list.body).unwrap_or_default()));
             }
         }
@@ -53,8 +53,8 @@
         let (stream, _) = listener.accept().await.ok()?;
         let planted = planted.clone();
         spawn_local(async move {
-            let mut wire = Wire::new(stream);
-            while let Ok(Some(request)) = wire.request().await {
+            let mut wire = HttpConnection::new(stream);
+            while let Ok(Some(request)) = wire.read_request().await {
                 let text = planted.answered(&request).await;
                 if wire.write(&text).await.is_err() {
                     return;
@@ -75,7 +75,7 @@
 impl Planted {
     async fn answered(&self, request: &Message) -> String {
         if request.path == "/_health" {
-            return answer(200, "", "");
+            return format_response(200, "", "");
         }
         let number = self.next.get();
         self.next.set(number + 1);
@@ -83,7 +83,7 @@
             "crashes" if number == 20 => std::process::exit(3),
             "parks" => {
                 sleep(Duration::from_millis(850)).await;
-                return answer(503, "", "");
+                return format_response(503, "", "");
             }
             "loses" if number % 10 == 9 => std::future::pending().await,
             _ => {}
@@ -99,7 +99,7 @@
             }
             live.get(number % live.len().max(1)).map(|t| t.0)
         };
-        let Some(at) = at else { return answer(503, "", "") };
+        let Some(at) = at else { return format_response(503, "", "") };
         let other = self.targets.borrow().iter().find(|t| t.0 != at).map_or(at, |t| t.0);
         let is_order = request.body == "order";
         if !is_order && self.fault == "copies" {
@@ -116,14 +116,14 @@
         if is_order && self.fault == "repeats" {
             body = post(at, request).await;
         }
-        let Some(body) = body else { return answer(if is_order { 502 } else { 503 }, "", "") };
+        let Some(body) = body else { return format_response(if is_order { 502 } else { 503 }, "", "") };
         if is_order && self.fault == "declines-what-ran" {
-            return answer(503, "", "");
+            return format_response(503, "", "");
         }
-        let text = answer(200, "", &body);
+        let text = format_response(200, "", &body);
         match &*self.fault {
             "answers-twice" => text.repeat(2),
-            "swaps" => answer(200, "", &self.last.replace(body)),
+            "swaps" => format_response(200, "", &self.last.replace(body)),
             "posts-after" => {
                 let request = request.clone();
                 spawn_local(async move {
@@ -138,15 +138,15 @@
 }
 
 async fn post(at: SocketAddr, request: &Message) -> Option<String> {
-    let mut wire = Wire::new(TcpStream::connect(at).await.ok()?);
-    let field = |name| request.field(name).unwrap_or_default();
+    let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
+    let field = |name| request.header(name).unwrap_or_default();
     let head = format!("Req-Id: {}\r\nReq-Cost: {}\r\n", field("Req-Id"), field("Req-Cost"));
     wire.write(&format!("POST /api HTTP/1.1\r\n{head}Content-Length: 0\r\n\r\n")).await.ok()?;
-    wire.answer().await.ok()?.filter(|answer| answer.status == 200).map(|answer| answer.body)
+    wire.read_response().await.ok()?.filter(|answer| answer.status == 200).map(|answer| answer.body)
 }
 
 async fn get_load(at: SocketAddr) -> Option<Message> {
-    let mut wire = Wire::new(TcpStream::connect(at).await.ok()?);
+    let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
     wire.write("GET /load HTTP/1.1\r\n\r\n").await.ok()?;
-    wire.answer().await.ok()?
+    wire.read_response().await.ok()?
 }
--- a/crates/pondlb-lab/src/compare/tests.rs
+++ b/crates/pondlb-lab/src/compare/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_difference_is_seen_only_where_the_spread_leaves_out_zero() {
-    let scenario = Scenario::read(include_str!("../../../../lab/first.toml")).unwrap();
+    let scenario = Scenario::parse(include_str!("../../../../lab/first.toml")).unwrap();
     let scenario = Scenario { classes: scenario.classes[..1].to_vec(), ..scenario };
     let mut trace = String::new();
     for sides in
--- a/crates/pondlb-lab/src/http.rs
+++ b/crates/pondlb-lab/src/http.rs
@@ -15,21 +15,21 @@
     pub path: String,
     /// The status of an answer.
     pub status: u16,
-    pub fields: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
 impl Message {
-    pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 }
 
 /// One connection, and what has come on it beyond the last message.
-pub struct Wire {
+pub struct HttpConnection {
     pub stream: TcpStream,
     /// Bytes that have come, since the connection was made.
-    pub received: u64,
+    pub received_bytes: u64,
     bytes: Vec<u8>,
 }
 
@@ -37,24 +37,24 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-impl Wire {
+impl HttpConnection {
     pub fn new(stream: TcpStream) -> Self {
         let _unset = stream.set_nodelay(true);
-        Wire { stream, received: 0, bytes: Vec::new() }
+        HttpConnection { stream, received_bytes: 0, bytes: Vec::new() }
     }
 
     /// More has come than was asked for.
-    pub fn has_more(&mut self) -> bool {
+    pub fn has_unread_data(&mut self) -> bool {
         let mut some = [0; 64];
         if let Ok(count) = self.stream.try_read(&mut some) {
             self.bytes.extend_from_slice(&some[..count]);
-            self.received += count as u64;
+            self.received_bytes += count as u64;
         }
         !self.bytes.is_empty()
     }
 
     /// Until a first byte has come; false when the other side has ended.
-    pub async fn begins(&mut self) -> io::Result<bool> {
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
         Ok(!self.bytes.is_empty() || self.fill().await?)
     }
 
@@ -62,7 +62,7 @@
         self.stream.write_all(text.as_bytes()).await
     }
 
-    pub async fn request(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<Message>> {
         self.message(|bytes| {
             let mut fields = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Request::new(&mut fields);
@@ -73,7 +73,7 @@
         .await
     }
 
-    pub async fn answer(&mut self) -> io::Result<Option<Message>> {
+    pub async fn read_response(&mut self) -> io::Result<Option<Message>> {
         self.message(|bytes| {
             let mut fields = [httparse::EMPTY_HEADER; 64];
             let mut head = httparse::Response::new(&mut fields);
@@ -97,7 +97,7 @@
                 None => return Err(io::ErrorKind::UnexpectedEof.into()),
             }
         };
-        let length = message.field("Content-Length").map_or(Ok(0), str::parse::<usize>);
+        let length = message.header("Content-Length").map_or(Ok(0), str::parse::<usize>);
         let end = start + length.ok().filter(|l| *l < MOST).ok_or_else(|| bad("a bad length"))?;
         while self.bytes.len() < end {
             if !self.fill().await? {
@@ -114,7 +114,7 @@
             return Err(bad("a message without an end"));
         }
         let count = self.stream.read_buf(&mut self.bytes).await?;
-        self.received += count as u64;
+        self.received_bytes += count as u64;
         Ok(count > 0)
     }
 }
@@ -122,12 +122,12 @@
 fn of_fields(fields: &[httparse::Header]) -> Message {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     Message {
-        fields: fields.iter().map(|f| (f.name.to_string(), text(f.value))).collect(),
+        headers: fields.iter().map(|f| (f.name.to_string(), text(f.value))).collect(),
         ..Message::default()
     }
 }
 
 /// An answer with its length.
-pub fn answer(status: u16, fields: &str, body: &str) -> String {
+pub fn format_response(status: u16, fields: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} Said\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/pondlb-lab/src/judge/tests.rs
+++ b/crates/pondlb-lab/src/judge/tests.rs
@@ -10,9 +10,9 @@
     let mut trace = String::new();
     for (late, count) in [(LATE, 100), (LATE + 1, 1), (LATE + 1, 2), (4 * LATE, 50)] {
         let times = (0..100).map(|n| if n < count { late } else { 300 }).collect();
-        trace += &format!("{:?}\n", void(&Ledgers { late: times, ..Ledgers::default() }));
+        trace += &format!("{:?}\n", void_reason(&Ledgers { lateness_us: times, ..Ledgers::default() }));
     }
-    trace += &format!("{:?}\n", void(&Ledgers { short: 3, ..Ledgers::default() }));
+    trace += &format!("{:?}\n", void_reason(&Ledgers { descriptor_shortages: 3, ..Ledgers::default() }));
     expect![[r#"
         None
         None
--- a/crates/pondlb-lab/src/ledger.rs
+++ b/crates/pondlb-lab/src/ledger.rs
@@ -1,82 +1,136 @@
-//! What clients, upstreams and discovery write down while a run goes on; all times in microseconds from its
-//! start, by one clock.
+//! The events of a run as the emulated clients, upstreams and discovery record them, which the judge checks.
+//!
+//! All times are microseconds since the start of the run, by one clock.
+
+#[cfg(test)]
+mod tests;
 
 use serde::Serialize;
 
-/// One request, as its client saw it.
+/// One request as its client saw it.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Asked {
+pub struct ClientRequest {
+    /// The request's id, unique in the run.
     pub id: String,
+    /// Index of its class in the scenario.
     #[serde(rename = "scheme")]
     pub class: usize,
+    /// The balancer to which it was sent last.
     pub balancer: u32,
-    pub intended: u64,
-    /// When its last byte was written; none where no connection came up.
-    pub sent: Option<u64>,
-    /// The last byte of the answer.
-    pub answered: Option<u64>,
+    /// When it was due by the plan.
+    #[serde(rename = "intended")]
+    pub intended_us: u64,
+    /// When its last byte was written; `None` if no connection was established.
+    #[serde(rename = "sent")]
+    pub sent_us: Option<u64>,
+    /// When the last byte of the response arrived.
+    #[serde(rename = "answered")]
+    pub answered_us: Option<u64>,
+    /// The status of the response; 0 without one.
     pub status: u16,
+    /// The body of the response.
     pub body: String,
-    /// More answers came than one was asked for.
-    pub answers: u32,
-    /// Its balancer was killed by the scenario while it was open.
-    pub killed: bool,
+    /// How many responses arrived; more than one is a violation.
+    #[serde(rename = "answers")]
+    pub answer_count: u32,
+    /// Whether the scenario killed its balancer while the request was open.
+    #[serde(rename = "killed")]
+    pub balancer_killed: bool,
 }
 
-/// One attempt, as its upstream saw it.
+/// One attempt as its upstream saw it.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Run {
+pub struct UpstreamAttempt {
+    /// The id of its request.
     pub id: String,
+    /// Index of the upstream.
     pub upstream: usize,
-    /// How many of its processes there had been before under other uids.
-    pub life: u32,
+    /// How many processes with other uids the upstream had before this one.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    /// The balancer that sent it, known by the address to which it connected.
     pub balancer: u32,
-    pub first_byte: u64,
-    pub last_byte: u64,
-    pub work: u64,
-    /// When work on it began; none where it was turned away or never got that far.
-    pub began: Option<u64>,
-    /// When it was answered, or its balancer closed its connection: it is out no longer.
-    pub ended: Option<u64>,
-    /// The body of the answer, where one was written whole.
-    pub answer: Option<String>,
+    /// When its first byte arrived.
+    #[serde(rename = "first_byte")]
+    pub first_byte_us: u64,
+    /// When its last byte arrived.
+    #[serde(rename = "last_byte")]
+    pub last_byte_us: u64,
+    /// Its work in microseconds of a standard core.
+    #[serde(rename = "work")]
+    pub work_us: u64,
+    /// When work on it started; `None` if it was rejected or never reached a core.
+    #[serde(rename = "began")]
+    pub started_us: Option<u64>,
+    /// When it was answered or its balancer closed the connection; `None` while it is outstanding.
+    #[serde(rename = "ended")]
+    pub ended_us: Option<u64>,
+    /// The body of the response, if it was written whole.
+    #[serde(rename = "answer")]
+    pub answer_body: Option<String>,
 }
 
-/// Discovery has written to a balancer that an upstream leaves.
+/// Discovery has told a balancer that an upstream is leaving.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Told {
+pub struct DrainNotice {
+    /// The balancer that was told.
     pub balancer: u32,
+    /// Index of the upstream that is leaving.
     pub upstream: usize,
-    pub life: u32,
-    pub at: u64,
+    /// How many processes with other uids the upstream had before this one.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    /// When the list had been written.
+    #[serde(rename = "at")]
+    pub at_us: u64,
 }
 
 /// An upstream's process started, cold.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Boot {
+pub struct UpstreamStart {
+    /// Index of the upstream.
     pub upstream: usize,
-    pub at: u64,
+    /// When it started.
+    #[serde(rename = "at")]
+    pub at_us: u64,
 }
 
-/// A balancer ended by itself.
+/// A balancer exited although nothing had asked it to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Crash {
+pub struct BalancerCrash {
+    /// The balancer.
     pub balancer: u32,
-    pub at: u64,
+    /// When the exit was noticed.
+    #[serde(rename = "at")]
+    pub at_us: u64,
+    /// Its exit status as text.
     pub status: String,
 }
 
+/// All events of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Ledgers {
-    pub asked: Vec<Asked>,
-    pub runs: Vec<Run>,
-    pub told: Vec<Told>,
-    pub boots: Vec<Boot>,
-    pub crashes: Vec<Crash>,
-    /// Which balancer asked an upstream for its load, each time.
-    pub probes: Vec<u32>,
-    /// How late each of the load's own sends was, or the clock's own ticks.
-    pub late: Vec<u64>,
-    /// How often the laboratory itself had no descriptor left.
-    pub short: u64,
+    /// Requests of the clients.
+    #[serde(rename = "asked")]
+    pub requests: Vec<ClientRequest>,
+    /// Attempts at the upstreams.
+    #[serde(rename = "runs")]
+    pub attempts: Vec<UpstreamAttempt>,
+    /// First notices of drains, one for each balancer and upstream process.
+    #[serde(rename = "told")]
+    pub drain_notices: Vec<DrainNotice>,
+    /// Starts of upstream processes during the run.
+    #[serde(rename = "boots")]
+    pub upstream_starts: Vec<UpstreamStart>,
+    /// Unexpected exits of balancers.
+    pub crashes: Vec<BalancerCrash>,
+    /// The balancer that sent each load probe, one entry for each probe.
+    #[serde(rename = "probes")]
+    pub probe_senders: Vec<u32>,
+    /// How late each planned send and each timer tick of the laboratory was, in microseconds.
+    #[serde(rename = "late")]
+    pub lateness_us: Vec<u64>,
+    /// How often the laboratory itself had no file descriptor left.
+    #[serde(rename = "short")]
+    pub descriptor_shortages: u64,
 }
--- a/crates/pondlb-lab/src/lib.rs
+++ b/crates/pondlb-lab/src/lib.rs
@@ -2,9 +2,9 @@
 //! docs/lab.md tells why it is built like this.
 
 pub mod balancers;
+pub mod child_process;
 pub mod compare;
 pub mod fleet;
-pub mod holding;
 pub mod http;
 pub mod judge;
 pub mod ledger;
--- a/crates/pondlb-lab/src/load.rs
+++ b/crates/pondlb-lab/src/load.rs
@@ -10,10 +10,10 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::balancers::is_ready;
-use crate::fleet::Book;
-use crate::http::{Message, Wire};
-use crate::ledger::Asked;
-use crate::scenario::{Effect, Planned, Scenario};
+use crate::fleet::Recorder;
+use crate::http::{HttpConnection, Message};
+use crate::ledger::ClientRequest;
+use crate::scenario::{Effect, PlannedRequest, Scenario};
 
 /// A client hangs on so long past the deadline, to see what still comes.
 const BEYOND: Duration = Duration::from_millis(500);
@@ -26,7 +26,7 @@
 const TICK: u64 = 10_000;
 
 /// One balancer as clients see it: its address, the connections they keep to it, how often it was killed.
-pub struct Door {
+pub struct Endpoint {
     pub address: SocketAddr,
     kills: Cell<u32>,
     /// The last check of its health was good.
@@ -36,14 +36,19 @@
 
 /// A connection to a balancer.
 struct Connection {
-    wire: Wire,
+    wire: HttpConnection,
     /// How often the balancer had been killed when it was made: another count means that its process is gone.
     kills: u32,
 }
 
-impl Door {
-    pub fn new(address: SocketAddr) -> Rc<Door> {
-        Rc::new(Door { address, kills: Cell::new(0), is_healthy: Cell::new(true), idle: RefCell::default() })
+impl Endpoint {
+    pub fn new(address: SocketAddr) -> Rc<Endpoint> {
+        Rc::new(Endpoint {
+            address,
+            kills: Cell::new(0),
+            is_healthy: Cell::new(true),
+            idle: RefCell::default(),
+        })
     }
 
     /// A request during which the count changes may have been lost with the process.
@@ -77,7 +82,7 @@
 
 impl Failover {
     /// Which doors to try in turn, the planned one first.
-    fn candidates(self, planned: usize, doors: &[Rc<Door>]) -> Vec<usize> {
+    fn candidates(self, planned: usize, doors: &[Rc<Endpoint>]) -> Vec<usize> {
         if self == Failover::Never {
             return vec![planned];
         }
@@ -92,8 +97,8 @@
 /// One request and what its client is.
 struct Client<'a> {
     scenario: &'a Scenario,
-    planned: &'a Planned,
-    book: &'a Book,
+    planned: &'a PlannedRequest,
+    book: &'a Recorder,
     /// Whether another balancer could take it.
     failover: Failover,
 }
@@ -107,12 +112,12 @@
 }
 
 /// Sends all that is planned, counted from `from`, and returns once the last request has had its time.
-pub async fn follow(
+pub async fn send_planned(
     scenario: &Rc<Scenario>,
-    plan: Vec<Planned>,
-    doors: &[Rc<Door>],
+    plan: Vec<PlannedRequest>,
+    doors: &[Rc<Endpoint>],
     failover: Failover,
-    book: &Rc<Book>,
+    book: &Rc<Recorder>,
     from: u64,
 ) {
     let mut checks = JoinSet::new();
@@ -122,19 +127,19 @@
             checks.spawn_local(async move { door.check_health().await });
         }
     }
-    let doors: Rc<[Rc<Door>]> = doors.into();
+    let doors: Rc<[Rc<Endpoint>]> = doors.into();
     let mut open: Vec<JoinHandle<()>> = Vec::with_capacity(plan.len());
-    let ticks = spawn_local(tick(book.clone()));
+    let ticks = spawn_local(record_timer_lateness(book.clone()));
     for planned in plan {
         let intended = from + planned.at_us;
-        sleep_until(book.instant(intended)).await;
-        book.ledgers.borrow_mut().late.push(book.now().saturating_sub(intended));
+        sleep_until(book.instant_at(intended)).await;
+        book.ledgers.borrow_mut().lateness_us.push(book.now_us().saturating_sub(intended));
         let (scenario, book) = (scenario.clone(), book.clone());
         let doors = doors.clone();
         open.push(spawn_local(async move {
             let client = Client { scenario: &scenario, planned: &planned, book: &book, failover };
             let asked = client.ask(&doors, intended).await;
-            book.ledgers.borrow_mut().asked.push(asked);
+            book.ledgers.borrow_mut().requests.push(asked);
         }));
     }
     for task in open {
@@ -143,29 +148,29 @@
     ticks.abort();
 }
 
-pub(crate) async fn tick(book: Rc<Book>) {
-    let mut next = book.now();
+pub(crate) async fn record_timer_lateness(book: Rc<Recorder>) {
+    let mut next = book.now_us();
     loop {
         next += TICK;
-        sleep_until(book.instant(next)).await;
-        let late = book.now().saturating_sub(next);
-        book.ledgers.borrow_mut().late.push(late);
+        sleep_until(book.instant_at(next)).await;
+        let late = book.now_us().saturating_sub(next);
+        book.ledgers.borrow_mut().lateness_us.push(late);
         next += late / TICK * TICK;
     }
 }
 
 impl Client<'_> {
     /// Asks one balancer after the other until one has taken the request.
-    async fn ask(&self, doors: &[Rc<Door>], intended: u64) -> Asked {
-        let mut asked = Asked {
+    async fn ask(&self, doors: &[Rc<Endpoint>], intended: u64) -> ClientRequest {
+        let mut asked = ClientRequest {
             id: self.planned.id.clone(),
             class: self.planned.class,
             balancer: self.planned.balancer,
-            intended,
-            ..Asked::default()
+            intended_us: intended,
+            ..ClientRequest::default()
         };
         for candidate in self.failover.candidates(self.planned.balancer as usize, doors) {
-            (asked.balancer, asked.sent) = (candidate as u32, None);
+            (asked.balancer, asked.sent_us) = (candidate as u32, None);
             if let Attempt::Final = self.ask_at(&doors[candidate], &mut asked).await {
                 break;
             }
@@ -173,7 +178,7 @@
         asked
     }
 
-    async fn ask_at(&self, door: &Door, asked: &mut Asked) -> Attempt {
+    async fn ask_at(&self, door: &Endpoint, asked: &mut ClientRequest) -> Attempt {
         let class = &self.scenario.classes[self.planned.class];
         let text = request(self.planned, class.effect, &class.name, class.deadline_ms);
         let most = Duration::from_millis(class.deadline_ms) + BEYOND;
@@ -183,21 +188,21 @@
             if connection.wire.write(&text).await.is_err() {
                 continue;
             }
-            asked.sent = Some(self.book.now());
-            let answer = timeout(most, connection.wire.answer()).await;
-            asked.killed = door.kills.get() != connection.kills;
+            asked.sent_us = Some(self.book.now_us());
+            let answer = timeout(most, connection.wire.read_response()).await;
+            asked.balancer_killed = door.kills.get() != connection.kills;
             match answer {
                 Ok(Ok(Some(answer))) => {
-                    note(asked, answer, self.book.now());
+                    note(asked, answer, self.book.now_us());
                     // A second answer may come right behind the first.
                     tokio::task::yield_now().await;
-                    asked.answers = 1 + u32::from(connection.wire.has_more());
+                    asked.answer_count = 1 + u32::from(connection.wire.has_unread_data());
                     door.idle.borrow_mut().push(connection);
                 }
                 // Not where it was killed: it may have taken the request, and another would be the client's own
                 // repeat of an order.
-                Ok(Ok(None)) if kept && !asked.killed => {
-                    asked.sent = None;
+                Ok(Ok(None)) if kept && !asked.balancer_killed => {
+                    asked.sent_us = None;
                     continue;
                 }
                 Ok(_) if self.failover == Failover::NextBalancer && class.effect == Effect::Idempotent => {
@@ -211,16 +216,16 @@
     }
 }
 
-fn note(asked: &mut Asked, answer: Message, now: u64) {
-    (asked.answered, asked.status, asked.body) = (Some(now), answer.status, answer.body);
+fn note(asked: &mut ClientRequest, answer: Message, now: u64) {
+    (asked.answered_us, asked.status, asked.body) = (Some(now), answer.status, answer.body);
 }
 
 /// One kept that nothing has come on, or a new one.
-async fn connection(door: &Door, book: &Book, kept: bool) -> Option<Connection> {
+async fn connection(door: &Endpoint, book: &Recorder, kept: bool) -> Option<Connection> {
     if kept {
         loop {
             let mut connection = door.idle.borrow_mut().pop()?;
-            if !connection.wire.has_more() {
+            if !connection.wire.has_unread_data() {
                 return Some(connection);
             }
         }
@@ -228,13 +233,13 @@
     let kills = door.kills.get();
     let stream = timeout(CONNECT, TcpStream::connect(door.address)).await.ok()?;
     if stream.as_ref().is_err_and(|e| e.raw_os_error() == Some(NO_DESCRIPTOR)) {
-        book.ledgers.borrow_mut().short += 1;
+        book.ledgers.borrow_mut().descriptor_shortages += 1;
     }
     let stream = stream.ok()?;
-    Some(Connection { wire: Wire::new(stream), kills })
+    Some(Connection { wire: HttpConnection::new(stream), kills })
 }
 
-fn request(planned: &Planned, effect: Effect, class: &str, deadline_ms: u64) -> String {
+fn request(planned: &PlannedRequest, effect: Effect, class: &str, deadline_ms: u64) -> String {
     let head = format!(
         "Host: lab\r\nReq-Id: {}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline_ms}m\r\nReq-Cost: {}\r\n",
         planned.id, planned.work_us
--- a/crates/pondlb-lab/src/load/tests.rs
+++ b/crates/pondlb-lab/src/load/tests.rs
@@ -22,36 +22,36 @@
 }
 
 /// Nobody listens there.
-async fn refusing() -> Rc<Door> {
-    Door::new(TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap())
+async fn refusing() -> Rc<Endpoint> {
+    Endpoint::new(TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap())
 }
 
 /// Reads a request of each connection, and answers it or closes the connection without.
-async fn listening(answers: bool) -> Rc<Door> {
+async fn listening(answers: bool) -> Rc<Endpoint> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let door = Door::new(listener.local_addr().unwrap());
+    let door = Endpoint::new(listener.local_addr().unwrap());
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let mut wire = Wire::new(stream);
-            let _request = wire.request().await;
+            let mut wire = HttpConnection::new(stream);
+            let _request = wire.read_request().await;
             if answers {
-                wire.write(&crate::http::answer(200, "", "done")).await.unwrap();
+                wire.write(&crate::http::format_response(200, "", "done")).await.unwrap();
             }
         }
     });
     door
 }
 
-async fn asked(class: usize, failover: Failover, doors: &[Rc<Door>]) -> Asked {
-    let scenario = Scenario::read(SCENARIO).unwrap();
-    let planned = Planned { id: "t".into(), at_us: 0, class, balancer: 0, work_us: 1 };
-    let client = Client { scenario: &scenario, planned: &planned, book: &Book::open(), failover };
+async fn asked(class: usize, failover: Failover, doors: &[Rc<Endpoint>]) -> ClientRequest {
+    let scenario = Scenario::parse(SCENARIO).unwrap();
+    let planned = PlannedRequest { id: "t".into(), at_us: 0, class, balancer: 0, work_us: 1 };
+    let client = Client { scenario: &scenario, planned: &planned, book: &Recorder::new(), failover };
     client.ask(doors, 0).await
 }
 
 #[test]
 fn the_planned_balancer_comes_first_and_unhealthy_ones_last() {
-    let doors: Vec<_> = (1..=4).map(|port| Door::new(([127, 0, 0, 1], port).into())).collect();
+    let doors: Vec<_> = (1..=4).map(|port| Endpoint::new(([127, 0, 0, 1], port).into())).collect();
     assert_eq!(Failover::NextBalancer.candidates(2, &doors), [2, 3, 0, 1]);
     doors[2].is_healthy.set(false);
     doors[0].is_healthy.set(false);
@@ -67,7 +67,7 @@
             let asked_next = asked(class, Failover::NextBalancer, &doors).await;
             assert_eq!((asked_next.status, asked_next.balancer), (200, 1));
             let left = asked(class, Failover::Never, &doors).await;
-            assert_eq!((left.sent, left.answered, left.balancer), (None, None, 0));
+            assert_eq!((left.sent_us, left.answered_us, left.balancer), (None, None, 0));
         }
     });
 }
@@ -79,7 +79,7 @@
         let browse = asked(BROWSE, Failover::NextBalancer, &doors).await;
         assert_eq!((browse.status, browse.balancer), (200, 1));
         let order = asked(ORDER, Failover::NextBalancer, &doors).await;
-        assert!(order.sent.is_some() && order.answered.is_none());
+        assert!(order.sent_us.is_some() && order.answered_us.is_none());
         assert_eq!(order.balancer, 0);
     });
 }
@@ -90,6 +90,6 @@
     in_runtime(async {
         let doors = [listening(false).await, listening(false).await];
         let browse = asked(BROWSE, Failover::NextBalancer, &doors).await;
-        assert!(browse.sent.is_some() && browse.answered.is_none());
+        assert!(browse.sent_us.is_some() && browse.answered_us.is_none());
     });
 }
--- a/crates/pondlb-lab/src/main.rs
+++ b/crates/pondlb-lab/src/main.rs
@@ -6,8 +6,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use pondlb_lab::balancers::Program;
+use pondlb_lab::child_process::exec_killed_with_parent;
 use pondlb_lab::compare::{Pair, a_is_first, differences, table, value_in_time};
-use pondlb_lab::holding::become_held;
 use pondlb_lab::ledger::Ledgers;
 use pondlb_lab::report;
 use pondlb_lab::run::{Report, play};
@@ -164,7 +164,7 @@
 fn told(command: Command) -> Result<u8, String> {
     match command {
         Command::Hold { parent, program, arguments } => {
-            Err(become_held(parent, &program, &arguments).to_string())
+            Err(exec_killed_with_parent(parent, &program, &arguments).to_string())
         }
         Command::Scale(line) => scale(line),
         Command::Hollow { assignment, planted } => in_runtime(hollow::play(&assignment, planted)).map(|()| 0),
@@ -176,7 +176,7 @@
                     println!("{}", serde_json::to_string(planned).map_err(|e| e.to_string())?);
                 }
             } else {
-                let (requests, upstreams) = (arrivals.len(), scenario.fleet().len());
+                let (requests, upstreams) = (arrivals.len(), scenario.upstream_specs().len());
                 println!(
                     "{requests} txns in {} s to {} balancers and {upstreams} upstreams",
                     scenario.seconds, scenario.balancers
@@ -337,7 +337,7 @@
 
 fn read(path: &Path) -> Result<Scenario, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Scenario::read(&text).map_err(|faults| {
+    Scenario::parse(&text).map_err(|faults| {
         faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect::<Vec<_>>().join("\n")
     })
 }
--- a/crates/pondlb-lab/src/report.rs
+++ b/crates/pondlb-lab/src/report.rs
@@ -38,26 +38,26 @@
         let step = |at: u64| ((at.saturating_sub(from) / STEP) as usize).min(steps.saturating_sub(1));
         let mut outcomes = vec![vec![[0; 4]; steps]; scenario.classes.len()];
         let mut took: Vec<Vec<u64>> = vec![Vec::new(); steps];
-        for asked in &ledgers.asked {
+        for asked in &ledgers.requests {
             let sla = scenario.classes[asked.class].sla_ms * 1000;
-            let which = match (asked.answered, asked.status) {
+            let which = match (asked.answered_us, asked.status) {
                 (Some(at), 200) => {
-                    let time = at.saturating_sub(asked.intended);
-                    took[step(asked.intended)].push(time);
+                    let time = at.saturating_sub(asked.intended_us);
+                    took[step(asked.intended_us)].push(time);
                     usize::from(time > sla)
                 }
                 (Some(_), 429 | 503) => 2,
                 _ => 3,
             };
-            outcomes[asked.class][step(asked.intended)][which] += 1;
+            outcomes[asked.class][step(asked.intended_us)][which] += 1;
         }
         let latency = took.into_iter().map(|mut all| {
             all.sort_unstable();
             let at = |part: usize| all.get(all.len() * part / 100).map_or(0.0, |us| *us as f64 / 1000.0);
             [at(50), at(99)]
         });
-        let mut attempts = vec![vec![0; steps]; scenario.fleet().len()];
-        ledgers.runs.iter().for_each(|run| attempts[run.upstream][step(run.first_byte)] += 1);
+        let mut attempts = vec![vec![0; steps]; scenario.upstream_specs().len()];
+        ledgers.attempts.iter().for_each(|run| attempts[run.upstream][step(run.first_byte_us)] += 1);
         Times { outcomes, latency: latency.collect(), attempts }
     }
 }
@@ -158,7 +158,10 @@
 /// From when to when a fault was on.
 fn marks(scenario: &Scenario, most: f64) -> impl Iterator<Item = Rectangle<(f64, f64)>> {
     scenario.faults.iter().map(move |fault| {
-        let end = fault.lasts.map_or(fault.at + 0.05, |lasts| fault.at + lasts).min(scenario.seconds);
-        Rectangle::new([(fault.at, 0.0), (end, most)], RED.mix(0.1).filled())
+        let end = fault
+            .duration_seconds
+            .map_or(fault.at_seconds + 0.05, |lasts| fault.at_seconds + lasts)
+            .min(scenario.seconds);
+        Rectangle::new([(fault.at_seconds, 0.0), (end, most)], RED.mix(0.1).filled())
     })
 }
--- a/crates/pondlb-lab/src/scale/hollows.rs
+++ b/crates/pondlb-lab/src/scale/hollows.rs
@@ -18,7 +18,7 @@
 use super::measure::ByteLedger;
 use super::message::{Assignment, FinalState, InForce, Order, Report, Traffic};
 use super::scenario::Scenario;
-use crate::holding::held;
+use crate::child_process::command_killed_with_parent;
 
 /// The sub-command that is a hollow process.
 pub const HOLLOW: &str = "hollow";
@@ -129,7 +129,7 @@
         let file: PathBuf = self.folder.path().join(format!("{number}.json"));
         std::fs::write(&file, serde_json::to_vec(assignment)?)?;
         let log = File::create(self.folder.path().join(format!("{number}.log")))?;
-        let mut child = held(&std::env::current_exe()?)?
+        let mut child = command_killed_with_parent(&std::env::current_exe()?)?
             .arg(HOLLOW)
             .arg(file)
             .args(arguments)
--- a/crates/pondlb-lab/src/scale/real.rs
+++ b/crates/pondlb-lab/src/scale/real.rs
@@ -14,10 +14,10 @@
 use super::records::{TRAFFIC_CLASSES, zone_name};
 use super::scenario::Scenario;
 use super::tap::{Heard, Tap};
-use crate::balancers::{Balancers, Program, Restart};
+use crate::balancers::{Balancers, Program, RestartDurations};
 use crate::fleet::Fleet;
-use crate::ledger::{Asked, Ledgers, Told};
-use crate::scenario::{self as traffic, Class, Effect, Machine, Rules};
+use crate::ledger::{ClientRequest, DrainNotice, Ledgers};
+use crate::scenario::{self as traffic, Class, Effect, Rules, UpstreamSpec};
 
 /// Memory that a real balancer may use: the list is longer than that of a common deployment.
 const MEMORY_MB: u32 = 1024;
@@ -51,7 +51,7 @@
     /// When it was started again, by the machine's clock.
     pub started_us: u64,
     /// How long its end and its start took.
-    pub took: Restart,
+    pub took: RestartDurations,
 }
 
 impl RealBalancers {
@@ -167,26 +167,26 @@
         sla_ms: figures.sla_ms,
         deadline_ms: figures.expiry_ms,
         value: 1.0,
-        rate,
+        requests_per_second: rate,
         work_ms: figures.work_ms,
-        heavy: 0.0,
+        heavy_share: 0.0,
     };
-    let machine = Machine {
+    let machine = UpstreamSpec {
         count: figures.served_upstreams,
         zone: "a".into(),
         group: 0,
         cores: figures.cores,
-        speed: 1.0,
-        waiting: WAITING,
-        connections: CONNECTIONS,
+        speed_factor: 1.0,
+        max_queued: WAITING,
+        max_connections: CONNECTIONS,
         handshake_ms: 0.0,
     };
     traffic::Scenario {
         seed,
         seconds: scenario.seconds(),
         balancers: doors,
-        asking: Vec::new(),
-        least_in_time: 0.0,
+        probing_balancers: Vec::new(),
+        min_in_time_share: 0.0,
         rules: Rules::default(),
         upstreams: vec![machine],
         classes: vec![
@@ -203,17 +203,18 @@
     /// What went through balancers, with all that the judge needs.
     pub balanced: Ledgers,
     /// What went straight to the upstreams.
-    pub direct: Vec<Asked>,
+    pub direct: Vec<ClientRequest>,
 }
 
 /// Takes the ledgers of both ways apart. All balancers know an upstream by the same address, so that whose a posting
 /// is follows from its request.
 pub fn take_apart(mut ledgers: Ledgers, direct_ids: &HashSet<String>) -> Ways {
-    let (direct, asked) = ledgers.asked.drain(..).partition(|asked| direct_ids.contains(&asked.id));
-    ledgers.asked = asked;
-    ledgers.runs.retain(|run| !direct_ids.contains(&run.id));
-    let askers: HashMap<&str, u32> = ledgers.asked.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
-    for run in &mut ledgers.runs {
+    let (direct, asked) = ledgers.requests.drain(..).partition(|asked| direct_ids.contains(&asked.id));
+    ledgers.requests = asked;
+    ledgers.attempts.retain(|run| !direct_ids.contains(&run.id));
+    let askers: HashMap<&str, u32> =
+        ledgers.requests.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
+    for run in &mut ledgers.attempts {
         run.balancer = askers.get(&*run.id).copied().unwrap_or(run.balancer);
     }
     Ways { balanced: ledgers, direct }
@@ -225,14 +226,14 @@
     upstream: u32,
     revision: u64,
     to_book: impl Fn(u64) -> u64,
-) -> Vec<Told> {
+) -> Vec<DrainNotice> {
     let told = |(balancer, news): (usize, &Vec<InForce>)| {
         let first = news.iter().find(|news| news.revision >= revision)?;
-        Some(Told {
+        Some(DrainNotice {
             balancer: balancer as u32,
             upstream: upstream as usize,
-            life: 0,
-            at: to_book(first.at_us),
+            incarnation: 0,
+            at_us: to_book(first.at_us),
         })
     };
     series.iter().enumerate().filter_map(told).collect()
--- a/crates/pondlb-lab/src/scale/records.rs
+++ b/crates/pondlb-lab/src/scale/records.rs
@@ -119,7 +119,7 @@
             zones: scenario.zones(),
             sla_ns: scenario.traffic.sla_ms * NS_PER_MS,
             expiry_ns: scenario.traffic.expiry_ms * NS_PER_MS,
-            served: fleet.upstreams.iter().map(|upstream| upstream.address_of(0)).collect(),
+            served: fleet.upstreams.iter().map(|upstream| upstream.address_for(0)).collect(),
             cores: scenario.traffic.cores,
         }
     }
--- a/crates/pondlb-lab/src/scale/report.rs
+++ b/crates/pondlb-lab/src/scale/report.rs
@@ -9,7 +9,7 @@
 use super::scenario::PhaseKind;
 use super::server_loads::ServerLoads;
 use super::usage::RoleUsage;
-use crate::judge::Broken;
+use crate::judge::Violation;
 
 /// The most failures of a kind that the table tells.
 const MOST_TOLD: usize = 20;
@@ -22,7 +22,7 @@
     /// What failed, whatever the times: no convergence, wrong order, processes that ended.
     pub failures: Vec<String>,
     /// Rules of the traffic that were broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// How many of everything.
     pub sizes: Sizes,
     /// What differs from the fleet that the run stands for.
@@ -389,7 +389,7 @@
             end.rejections, end.repairs, end.snapshots
         )?;
         tell(to, "failed", self.failures.iter().cloned())?;
-        tell(to, "broken", self.broken.iter().map(|broken| format!("{}: {}", broken.rule, broken.what)))?;
+        tell(to, "broken", self.broken.iter().map(|broken| format!("{}: {}", broken.rule, broken.detail)))?;
         match (self.verdict(), &self.void) {
             (Verdict::Void, Some(why)) => writeln!(to, "void: {why}"),
             (Verdict::Failed, Some(why)) => writeln!(to, "failed; times and rules are void: {why}"),
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -23,9 +23,9 @@
 use super::timeline::{self, Action, Step};
 use super::usage::{Role, Sample};
 use crate::balancers::Program;
-use crate::fleet::{Book, Fleet};
-use crate::ledger::Crash;
-use crate::load::{self, Door, Failover};
+use crate::fleet::{Fleet, Recorder};
+use crate::ledger::BalancerCrash;
+use crate::load::{self, Endpoint, Failover};
 
 /// Between the moment when all is ready and the first step.
 const LEAD_US: u64 = 200_000;
@@ -59,7 +59,7 @@
 
 struct Run {
     scenario: Scenario,
-    book: Rc<Book>,
+    book: Rc<Recorder>,
     /// The machine's clock at the start of the book's.
     book_start_us: u64,
     /// Kept up for as long as the run lasts.
@@ -89,10 +89,11 @@
 
 impl Run {
     async fn start(programs: &Programs, scenario: Scenario) -> io::Result<Run> {
-        let book = Book::open();
-        let book_start_us = clock::now_us() - book.now();
+        let book = Recorder::new();
+        let book_start_us = clock::now_us() - book.now_us();
         let traffic = through_balancers(&scenario);
-        let fleet = Fleet::start(book.clone(), traffic.fleet(), &traffic.rules, scenario.real_balancers)?;
+        let fleet =
+            Fleet::start(book.clone(), traffic.upstream_specs(), &traffic.rules, scenario.real_balancers)?;
         let records = Records::new(&scenario, &fleet);
         let steps = timeline::steps(&scenario, &records);
         let servers = ControlServers::start(&programs.server, &scenario.layout(), records.initial()).await?;
@@ -161,17 +162,19 @@
 
     /// Plays the time line while the traffic goes both ways.
     async fn play_phases(&mut self) -> io::Result<()> {
-        self.from_book_us = self.book.now() + LEAD_US;
+        self.from_book_us = self.book.now_us() + LEAD_US;
         let (book, from) = (self.book.clone(), self.from_book_us);
         let through = Rc::new(through_balancers(&self.scenario));
         let beside = Rc::new(direct(&self.scenario));
-        let doors: Vec<_> = self.real.balancers.addresses.iter().map(|address| Door::new(*address)).collect();
+        let doors: Vec<_> =
+            self.real.balancers.addresses.iter().map(|address| Endpoint::new(*address)).collect();
         let straight: Vec<_> =
-            self.fleet.upstreams.iter().map(|upstream| Door::new(upstream.address_of(0))).collect();
+            self.fleet.upstreams.iter().map(|upstream| Endpoint::new(upstream.address_for(0))).collect();
         let direct_plan = beside.plan();
         self.direct_ids = direct_plan.iter().map(|planned| planned.id.clone()).collect();
-        let balanced = load::follow(&through, through.plan(), &doors, Failover::NextBalancer, &book, from);
-        let direct = load::follow(&beside, direct_plan, &straight, Failover::Never, &book, from);
+        let balanced =
+            load::send_planned(&through, through.plan(), &doors, Failover::NextBalancer, &book, from);
+        let direct = load::send_planned(&beside, direct_plan, &straight, Failover::Never, &book, from);
         let (played, (), ()) = tokio::join!(self.play_steps(), balanced, direct);
         played
     }
@@ -180,16 +183,16 @@
         let mut steps = std::mem::take(&mut self.steps).into_iter().peekable();
         let bounds = timeline::bounds(&self.scenario.phases);
         for (phase, (start_us, end_us)) in bounds.into_iter().enumerate() {
-            sleep_until(self.book.instant(self.from_book_us + start_us)).await;
+            sleep_until(self.book.instant_at(self.from_book_us + start_us)).await;
             eprintln!("{}", self.scenario.phases[phase].name);
             self.sample();
             while let Some(step) = steps.next_if(|step| step.phase == phase) {
                 let at_us = self.from_book_us + step.at_us;
-                sleep_until(self.book.instant(at_us)).await;
-                self.latest_step_us = self.latest_step_us.max(self.book.now().saturating_sub(at_us));
+                sleep_until(self.book.instant_at(at_us)).await;
+                self.latest_step_us = self.latest_step_us.max(self.book.now_us().saturating_sub(at_us));
                 self.act(step).await?;
             }
-            sleep_until(self.book.instant(self.from_book_us + end_us)).await;
+            sleep_until(self.book.instant_at(self.from_book_us + end_us)).await;
             self.note_ended();
         }
         self.sample();
@@ -261,7 +264,7 @@
         let servers = self.servers.processes().into_iter().enumerate();
         let servers =
             servers.map(|(number, id)| (if number == 0 { Role::Origin } else { Role::ReplicaServer }, id));
-        let real = self.real.balancers.processes().into_iter().map(|id| (Role::RealBalancer, id));
+        let real = self.real.balancers.process_ids().into_iter().map(|id| (Role::RealBalancer, id));
         let hollow = self.hollow.processes().into_iter().map(|id| (Role::HollowProcess, id));
         let own = std::iter::once((Role::Laboratory, std::process::id()));
         self.samples.push(Sample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
@@ -275,10 +278,10 @@
             }
         }
         let mut ledgers = self.book.ledgers.borrow_mut();
-        for (balancer, status) in self.real.balancers.ended() {
+        for (balancer, status) in self.real.balancers.unexpected_exits() {
             let balancer = balancer as u32;
             if ledgers.crashes.iter().all(|crash| crash.balancer != balancer) {
-                ledgers.crashes.push(Crash { balancer, at: self.book.now(), status });
+                ledgers.crashes.push(BalancerCrash { balancer, at_us: self.book.now_us(), status });
             }
         }
     }
@@ -331,7 +334,7 @@
         let mut ways = take_apart(self.book.ledgers.take(), &self.direct_ids);
         for (upstream, revision) in &self.drains {
             let to_book = |at_us: u64| at_us.saturating_sub(self.book_start_us);
-            ways.balanced.told.extend(drains_told(&real_series, *upstream, *revision, to_book));
+            ways.balanced.drain_notices.extend(drains_told(&real_series, *upstream, *revision, to_book));
         }
         let processes = self.servers.len()
             + self.scenario.hollow_processes() as usize
--- a/crates/pondlb-lab/src/scale/scenario.rs
+++ b/crates/pondlb-lab/src/scale/scenario.rs
@@ -7,7 +7,7 @@
 
 use super::records::LIMIT_COUNT;
 use super::servers::{Layout, UNBOUNDED_SNAPSHOT_PIECES};
-use crate::scenario::Fault;
+use crate::scenario::ScenarioError;
 
 /// A scale run: how many of everything, and what happens when.
 #[derive(Clone, Debug, Deserialize)]
@@ -232,7 +232,7 @@
     ///
     /// # Errors
     /// All that is wrong, so that nobody mends one fault only to meet the next.
-    pub fn read(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<Fault>> {
+    pub fn read(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<ScenarioError>> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| vec![e.to_string().trim().into()])?;
         let mut faults = scenario.faults(memory_bytes, share);
         if !(share > 0.0 && share <= 1.0) {
@@ -289,7 +289,7 @@
         hollow + servers + real + starting * records * STAGED_RECORD_BYTES + LAB_BYTES
     }
 
-    fn faults(&self, memory_bytes: u64, share: f64) -> Vec<Fault> {
+    fn faults(&self, memory_bytes: u64, share: f64) -> Vec<ScenarioError> {
         let mut faults = Vec::new();
         self.check_sizes(&mut faults);
         self.check_traffic(&mut faults);
@@ -313,7 +313,7 @@
         faults
     }
 
-    fn check_sizes(&self, faults: &mut Vec<Fault>) {
+    fn check_sizes(&self, faults: &mut Vec<ScenarioError>) {
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         let counts = [
             ("balancers", self.balancers, MOST_BALANCERS),
@@ -354,7 +354,7 @@
         );
     }
 
-    fn check_traffic(&self, faults: &mut Vec<Fault>) {
+    fn check_traffic(&self, faults: &mut Vec<ScenarioError>) {
         let traffic = &self.traffic;
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         for (key, rate) in [("rate_each", traffic.rate_each), ("direct_rate", traffic.direct_rate)] {
@@ -393,7 +393,7 @@
         missing.chain(doubled).chain(count)
     }
 
-    fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<Fault>) {
+    fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<ScenarioError>) {
         let key = |key: &str| format!("phases[{number}].{key}");
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         let seconds = phase.seconds;
--- a/crates/pondlb-lab/src/scale/servers.rs
+++ b/crates/pondlb-lab/src/scale/servers.rs
@@ -16,8 +16,8 @@
 
 use super::proxy::Proxy;
 use crate::balancers::Program;
-use crate::holding::held;
-use crate::http::{Message, Wire};
+use crate::child_process::command_killed_with_parent;
+use crate::http::{HttpConnection, Message};
 
 const READY_WITHIN: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(50);
@@ -114,7 +114,7 @@
     servers: Vec<Server>,
     commit: SocketAddr,
     /// The connection of the last commit, and when its answer came.
-    commit_wire: Option<(Wire, Instant)>,
+    commit_wire: Option<(HttpConnection, Instant)>,
     /// What the replica servers of the other regions reach the origin by.
     between_regions: Proxy,
 }
@@ -177,7 +177,7 @@
     fn spawn(&mut self, number: usize) -> io::Result<()> {
         let log_file = self.folder.path().join(format!("{}.log", self.servers[number].name));
         let log = File::options().create(true).append(true).open(log_file)?;
-        let child = held(&self.program.path)?
+        let child = command_killed_with_parent(&self.program.path)?
             .args(&self.program.arguments)
             .arg(&self.servers[number].file)
             .stdout(log.try_clone()?)
@@ -236,7 +236,7 @@
         let kept = self.commit_wire.take().filter(|(_, used)| used.elapsed() < COMMIT_IDLE);
         let mut wire = match kept {
             Some((wire, _)) => wire,
-            None => Wire::new(TcpStream::connect(self.commit).await?),
+            None => HttpConnection::new(TcpStream::connect(self.commit).await?),
         };
         let answer = call(&mut wire, &request).await?;
         self.commit_wire = Some((wire, Instant::now()));
@@ -354,15 +354,15 @@
 
 async fn get<T: for<'de> Deserialize<'de>>(server: SocketAddr, path: &str) -> io::Result<T> {
     let connected = timeout(CALL_WITHIN, TcpStream::connect(server)).await?;
-    let mut wire = Wire::new(connected?);
+    let mut wire = HttpConnection::new(connected?);
     let answer = call(&mut wire, &format!("GET {path} HTTP/1.1\r\nHost: lab\r\n\r\n")).await?;
     Ok(serde_json::from_str(&answer.body)?)
 }
 
-async fn call(wire: &mut Wire, request: &str) -> io::Result<Message> {
+async fn call(wire: &mut HttpConnection, request: &str) -> io::Result<Message> {
     let answered = async {
         wire.write(request).await?;
-        wire.answer().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        wire.read_response().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
     let answer: io::Result<Message> = timeout(CALL_WITHIN, answered).await?;
     let answer = answer?;
--- a/crates/pondlb-lab/src/scale/summary.rs
+++ b/crates/pondlb-lab/src/scale/summary.rs
@@ -20,7 +20,7 @@
 use super::timeline::bounds;
 use super::usage::{Role, RoleUsage, Sample};
 use crate::judge;
-use crate::ledger::Asked;
+use crate::ledger::ClientRequest;
 use crate::scenario as traffic;
 
 /// The longest answer that is told apart, in microseconds.
@@ -92,9 +92,9 @@
         _ => Vec::new(),
     };
     Report {
-        void: judge::void(ledgers),
+        void: judge::void_reason(ledgers),
         failures,
-        broken: judge::judge(evidence.traffic, ledgers),
+        broken: judge::find_violations(evidence.traffic, ledgers),
         sizes: sizes(evidence),
         remarks: remarks(evidence.scenario),
         start_seconds: evidence.started.as_secs_f64(),
@@ -208,12 +208,12 @@
 fn traffic_report(evidence: &Evidence, number: usize) -> TrafficReport {
     let bounds = bounds(&evidence.scenario.phases);
     let from = evidence.from_book_us;
-    let within = |asked: &&Asked| {
-        let at = asked.intended.saturating_sub(from);
+    let within = |asked: &&ClientRequest| {
+        let at = asked.intended_us.saturating_sub(from);
         bounds.get(number).is_some_and(|(start, end)| (*start..*end).contains(&at))
     };
-    let through: Vec<&Asked> = evidence.ways.balanced.asked.iter().filter(within).collect();
-    let direct: Vec<&Asked> = evidence.ways.direct.iter().filter(within).collect();
+    let through: Vec<&ClientRequest> = evidence.ways.balanced.requests.iter().filter(within).collect();
+    let direct: Vec<&ClientRequest> = evidence.ways.direct.iter().filter(within).collect();
     let ((p50_ms, p99_ms), (direct_p50_ms, direct_p99_ms)) = (quantiles(&through), quantiles(&direct));
     TrafficReport {
         asked: through.len(),
@@ -252,8 +252,8 @@
     let milliseconds = |duration: Duration| duration.as_secs_f64() * 1000.0;
     RestartReport {
         balancer: restart.balancer,
-        ending_ms: milliseconds(restart.took.ending),
-        start_to_serving_ms: milliseconds(restart.took.starting),
+        ending_ms: milliseconds(restart.took.shutdown),
+        start_to_serving_ms: milliseconds(restart.took.startup),
         start_to_in_force_ms: first.map(|first| (first.at_us - restart.started_us) as f64 / 1000.0),
     }
 }
@@ -263,15 +263,15 @@
     BALANCER_BYTES_PER_SECOND * f64::from(scenario.balancers) / f64::from(scenario.replica_servers + 1)
 }
 
-fn is_settled(asked: &Asked) -> bool {
-    asked.answered.is_some() && asked.status == SETTLED
+fn is_settled(asked: &ClientRequest) -> bool {
+    asked.answered_us.is_some() && asked.status == SETTLED
 }
 
 /// The median and the 99th percentile of settled requests, in milliseconds.
-fn quantiles(asked: &[&Asked]) -> (f64, f64) {
+fn quantiles(asked: &[&ClientRequest]) -> (f64, f64) {
     let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MOST_ANSWER_US, 3) else { return (0.0, 0.0) };
     for asked in asked.iter().filter(|asked| is_settled(asked)) {
-        times.saturating_record(asked.answered.unwrap_or_default().saturating_sub(asked.intended));
+        times.saturating_record(asked.answered_us.unwrap_or_default().saturating_sub(asked.intended_us));
     }
     let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     (milliseconds(0.5), milliseconds(0.99))
--- a/crates/pondlb-lab/src/scenario/tests.rs
+++ b/crates/pondlb-lab/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! The plan that a scenario draws, and the faults that are found in one.
+//! The plan that a scenario draws, and the errors that are found in a scenario.
 
 use expect_test::expect;
 
@@ -8,10 +8,15 @@
     name = \"s\"\neffect = \"once-only\"\nsla_ms = 100\nexpiry_ms = 300\nvalue = 1.0\nrate = 2.0\nwork_ms = 5.0\n";
 
 #[test]
-fn one_seed_draws_one_plan_and_another_a_different_one() {
-    let scenario = Scenario::read(GOOD).unwrap();
-    let text =
-        |s: &Scenario| s.plan().iter().map(|p| serde_json::to_string(p).unwrap() + "\n").collect::<String>();
+fn equal_seeds_draw_equal_plans() {
+    let scenario = Scenario::parse(GOOD).unwrap();
+    let text = |scenario: &Scenario| {
+        scenario
+            .plan()
+            .iter()
+            .map(|planned| serde_json::to_string(planned).unwrap() + "\n")
+            .collect::<String>()
+    };
     assert_eq!(text(&scenario), text(&scenario));
     assert_ne!(text(&scenario), text(&Scenario { seed: 2, ..scenario.clone() }));
     expect![[r#"
@@ -25,7 +30,7 @@
 }
 
 #[test]
-fn every_fault_is_told_with_its_key() {
+fn each_error_names_its_key() {
     let mut trace = String::new();
     for (from, to) in [
         ("seconds = 2.0", "seconds = -1.0"),
@@ -38,19 +43,19 @@
         ("seed = 1", "seed = 1\nspeed = 3"),
         ("work_ms = 5.0", "work_ms = 5.0\n[[faults]]\nat = 1.0\nkind = \"kill\"\nwhich = 2"),
     ] {
-        let faults = Scenario::read(&GOOD.replacen(from, to, 1)).unwrap_err();
-        trace += &format!("{}\n", faults.join("; ").lines().last().unwrap_or_default());
+        let errors = Scenario::parse(&GOOD.replacen(from, to, 1)).unwrap_err();
+        trace += &format!("{}\n", errors.join("; ").lines().last().unwrap_or_default());
     }
     expect![[r#"
-        seconds: -1: 0.1 to 600 wanted
-        balancers: 2000000000: 1 to 1024
-        upstreams[0].count: 0: 1 at least; upstreams[0].cores: 0: 1 to 256
-        schemes[0].rate: 1e300: 0 to 100000; schemes: 2e300 txns in all: 2000000 at most
-        schemes[0].rate: NaN: 0 to 100000; schemes: NaN txns in all: 2000000 at most
-        schemes[0].expiry_ms: 30 is less than sla_ms
+        seconds: -1: must be 0.1 to 600
+        balancers: 2000000000: must be 1 to 1024
+        upstreams[0].count: 0: must be at least 1; upstreams[0].cores: 0: must be 1 to 256
+        schemes[0].rate: 1e300: must be 0 to 100000; schemes: 2e300 txns in total: must be at most 2000000
+        schemes[0].rate: NaN: must be 0 to 100000; schemes: NaN txns in total: must be at most 2000000
+        schemes[0].expiry_ms: 30: must be at least sla_ms
         unknown variant `often`, expected one of `repeatable`, `referenced`, `once-only`
         unknown field `speed`, expected one of `seed`, `seconds`, `balancers`, `asking`, `least_in_time`, `rules`, `upstreams`, `schemes`, `faults`, `bursts`
-        faults[0].which: 2: there are 2
+        faults[0].which: 2: must be below 2
     "#]]
     .assert_eq(&trace);
 }
--- a/crates/pondlb-lab/src/slopes/bench.rs
+++ b/crates/pondlb-lab/src/slopes/bench.rs
@@ -17,7 +17,7 @@
 use super::running::Running;
 use super::stand_in::{Discovery, Traffic, Upstreams};
 use crate::balancers::Program;
-use crate::fleet::Book;
+use crate::fleet::Recorder;
 use crate::judge;
 
 /// Addresses that all listed upstreams share.
@@ -39,7 +39,7 @@
     pub program: Program,
     folder: TempDir,
     /// The clock, and how late the laboratory was by it.
-    pub book: Rc<Book>,
+    pub book: Rc<Recorder>,
     /// Stand-ins for all upstreams that are listed.
     pub upstreams: Upstreams,
     /// How long one point is measured.
@@ -93,7 +93,7 @@
         Ok(Bench {
             program,
             folder: tempfile::tempdir()?,
-            book: Book::open(),
+            book: Recorder::new(),
             upstreams: Upstreams::start(ADDRESSES).await?,
             span,
             share,
@@ -110,7 +110,7 @@
             let (ran, waited) = (ran.as_millis(), waited.as_millis());
             format!("while they served, programs ran for {ran} ms and waited for a processor for {waited} ms")
         };
-        let late = judge::void(&self.book.ledgers.take());
+        let late = judge::void_reason(&self.book.ledgers.take());
         late.or_else(|| (waited.as_secs_f64() > MOST_WAITED * ran.as_secs_f64()).then(busy))
     }
 
--- a/crates/pondlb-lab/src/slopes/load.rs
+++ b/crates/pondlb-lab/src/slopes/load.rs
@@ -13,8 +13,8 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep_until, timeout};
 
-use crate::fleet::Book;
-use crate::http::Wire;
+use crate::fleet::Recorder;
+use crate::http::HttpConnection;
 
 const SEED: u64 = 38;
 const DEADLINE: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
 pub struct Way {
     address: SocketAddr,
     class: String,
-    idle: RefCell<Vec<Wire>>,
+    idle: RefCell<Vec<HttpConnection>>,
     took: RefCell<Histogram<u64>>,
     failed: Cell<usize>,
 }
@@ -75,10 +75,10 @@
         self.idle.borrow().len()
     }
 
-    async fn ask(self: Rc<Self>, book: Rc<Book>, id: String) {
-        let sent = book.now();
+    async fn ask(self: Rc<Self>, book: Rc<Recorder>, id: String) {
+        let sent = book.now_us();
         match timeout(LONGEST, self.exchange(&id)).await {
-            Ok(Ok(200)) => self.took.borrow_mut().saturating_record(book.now().saturating_sub(sent)),
+            Ok(Ok(200)) => self.took.borrow_mut().saturating_record(book.now_us().saturating_sub(sent)),
             _ => self.failed.set(self.failed.get() + 1),
         }
     }
@@ -87,23 +87,23 @@
         let kept = self.kept();
         let mut wire = match kept {
             Some(wire) => wire,
-            None => Wire::new(TcpStream::connect(self.address).await?),
+            None => HttpConnection::new(TcpStream::connect(self.address).await?),
         };
         let (class, deadline) = (&self.class, DEADLINE.as_millis());
         wire.write(&format!(
             "GET /api HTTP/1.1\r\nHost: lab\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline}m\r\nReq-Cost: 1000\r\n\r\n"
         ))
         .await?;
-        let status = wire.answer().await?.map_or(0, |answer| answer.status);
+        let status = wire.read_response().await?.map_or(0, |answer| answer.status);
         self.idle.borrow_mut().push(wire);
         Ok(status)
     }
 
-    fn kept(&self) -> Option<Wire> {
+    fn kept(&self) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         loop {
             let mut wire = idle.pop()?;
-            if !wire.has_more() {
+            if !wire.has_unread_data() {
                 return Some(wire);
             }
         }
@@ -116,16 +116,16 @@
 impl Load {
     /// Sends so many a second on each of the ways until it is dropped. No other load may have its name: a balancer refuses
     /// an id that it knows.
-    pub fn start(book: Rc<Book>, ways: Vec<Rc<Way>>, rate: f64, name: String) -> Load {
+    pub fn start(book: Rc<Recorder>, ways: Vec<Rc<Way>>, rate: f64, name: String) -> Load {
         Load(spawn_local(async move {
             let mut chance = WyRand::new_seed(SEED);
-            let mut intended = book.now() as f64;
+            let mut intended = book.now_us() as f64;
             for number in 0_u64.. {
                 // Gaps between independent arrivals on all ways together.
                 let drawn = 1.0 - chance.generate::<f64>();
                 intended += -drawn.ln() * 1e6 / (rate * ways.len() as f64);
-                sleep_until(book.instant(intended as u64)).await;
-                book.ledgers.borrow_mut().late.push(book.now().saturating_sub(intended as u64));
+                sleep_until(book.instant_at(intended as u64)).await;
+                book.ledgers.borrow_mut().lateness_us.push(book.now_us().saturating_sub(intended as u64));
                 let way = ways[(number % ways.len() as u64) as usize].clone();
                 spawn_local(way.ask(book.clone(), format!("{name}-{number}")));
             }
--- a/crates/pondlb-lab/src/slopes/mod.rs
+++ b/crates/pondlb-lab/src/slopes/mod.rs
@@ -29,7 +29,7 @@
 use tokio::task::spawn_local;
 
 use crate::balancers::Program;
-use crate::load::tick;
+use crate::load::record_timer_lateness;
 use bench::Bench;
 use series::Series;
 
@@ -140,7 +140,7 @@
         options.programs(*dimension).into_iter().try_for_each(is_there)?;
     }
     let bench = Bench::open(options.program.clone(), span, options.share).await?;
-    let ticks = spawn_local(tick(bench.book.clone()));
+    let ticks = spawn_local(record_timer_lateness(bench.book.clone()));
     let mut results = Vec::new();
     for dimension in options.dimensions() {
         let series = along(&bench, options, *dimension).await?;
--- a/crates/pondlb-lab/src/slopes/running.rs
+++ b/crates/pondlb-lab/src/slopes/running.rs
@@ -11,7 +11,7 @@
 
 use super::probe::{Process, Scheduled};
 use crate::balancers::{Program, is_ready};
-use crate::holding::held;
+use crate::child_process::command_killed_with_parent;
 
 const READY_WITHIN: Duration = Duration::from_secs(10);
 const READY_STEP: Duration = Duration::from_millis(5);
@@ -112,7 +112,7 @@
 }
 
 fn spawn(program: &Program, config: &Path, log: File) -> io::Result<Child> {
-    held(&program.path)?
+    command_killed_with_parent(&program.path)?
         .args(&program.arguments)
         .env("RELAY_CONFIG", config)
         .stdout(log.try_clone()?)
--- a/crates/pondlb-lab/src/slopes/stand_in.rs
+++ b/crates/pondlb-lab/src/slopes/stand_in.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use super::listing::{Listing, body};
-use crate::http::{Wire, answer};
+use crate::http::{HttpConnection, format_response};
 
 /// The version of the list that a balancer is given with its configuration.
 pub const FIRST_VERSION: u64 = 1;
@@ -88,7 +88,7 @@
         let task = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let told = serving.clone();
-                spawn_local(async move { told.serve(Wire::new(stream)).await });
+                spawn_local(async move { told.serve(HttpConnection::new(stream)).await });
             }
         });
         Ok(Discovery { address, told, task })
@@ -152,9 +152,9 @@
         self.changed.notify_waiters();
     }
 
-    async fn serve(&self, mut wire: Wire) {
+    async fn serve(&self, mut wire: HttpConnection) {
         let mut received = 0;
-        while let Ok(Some(request)) = wire.request().await {
+        while let Ok(Some(request)) = wire.read_request().await {
             let from = query(&request.path, "from");
             let hold_ms = query(&request.path, "hold_ms").unwrap_or_default().min(LONGEST_HOLD_MS);
             if let Some(from) = from {
@@ -169,9 +169,9 @@
             let text = self.answer_to(from);
             let mut traffic = self.traffic.get();
             traffic.calls += 1;
-            traffic.received += wire.received - received;
+            traffic.received += wire.received_bytes - received;
             traffic.sent += text.len() as u64;
-            received = wire.received;
+            received = wire.received_bytes;
             self.traffic.set(traffic);
             if wire.write(&text).await.is_err() {
                 return;
@@ -188,7 +188,7 @@
             let comma = if changed.is_empty() { "" } else { "," };
             changed = format!("{changed}{comma}{entries}");
         }
-        answer(200, "", &body(version, false, &changed)).into()
+        format_response(200, "", &body(version, false, &changed)).into()
     }
 
     fn whole(&self, version: u64) -> Rc<str> {
@@ -196,7 +196,7 @@
         match &*kept {
             Some((of, text)) if *of == version => text.clone(),
             _ => {
-                let text: Rc<str> = answer(200, "", &self.listing.borrow().whole(version)).into();
+                let text: Rc<str> = format_response(200, "", &self.listing.borrow().whole(version)).into();
                 *kept = Some((version, text.clone()));
                 text
             }
@@ -251,9 +251,9 @@
 
 async fn answer_all(stream: TcpStream, open: Rc<Cell<usize>>) {
     open.set(open.get() + 1);
-    let mut wire = Wire::new(stream);
-    while let Ok(Some(_)) = wire.request().await {
-        if wire.write(&answer(200, "Srv-Load: rif=0,q=0\r\n", "done")).await.is_err() {
+    let mut wire = HttpConnection::new(stream);
+    while let Ok(Some(_)) = wire.read_request().await {
+        if wire.write(&format_response(200, "Srv-Load: rif=0,q=0\r\n", "done")).await.is_err() {
             break;
         }
     }
--- a/crates/pondlb-lab/tests/judged.rs
+++ b/crates/pondlb-lab/tests/judged.rs
@@ -195,8 +195,8 @@
     expect![[r#"
         0: 249 txns in 2.5 s to 1 balancers and 3 upstreams
         2: /missing.toml: No such file or directory (os error 2)
-        2: /empty.toml: upstreams: the fleet is empty
-        /empty.toml: schemes: there is none
+        2: /empty.toml: upstreams: at least one is required
+        /empty.toml: schemes: at least one is required
         2: /unknown.toml: TOML parse error at line 11, column 1
            |
         11 | hearts = 2
--- a/crates/pondlb-lab/tests/slopes.rs
+++ b/crates/pondlb-lab/tests/slopes.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pondlb_lab::http::Wire;
+use pondlb_lab::http::HttpConnection;
 use pondlb_lab::slopes::fit::Line;
 use pondlb_lab::slopes::listing::Listing;
 use pondlb_lab::slopes::probe::{Memory, Process, Scheduled, parse_schedstat, parse_status};
@@ -114,9 +114,9 @@
 
 /// What discovery answers to one call, as JSON.
 async fn call(discovery: &Discovery, query: &str) -> Value {
-    let mut wire = Wire::new(TcpStream::connect(discovery.address).await.unwrap());
+    let mut wire = HttpConnection::new(TcpStream::connect(discovery.address).await.unwrap());
     wire.write(&format!("GET /catalog/members{query} HTTP/1.1\r\nHost: d\r\n\r\n")).await.unwrap();
-    serde_json::from_str(&wire.answer().await.unwrap().unwrap().body).unwrap()
+    serde_json::from_str(&wire.read_response().await.unwrap().unwrap().body).unwrap()
 }
 
 #[test]
