--- a/crates/pondlb-lab/src/fleet.rs
+++ b/crates/pondlb-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The emulated fleet: upstreams and discovery on loopback, as tasks of one loop.
+//! The emulated fleet: upstreams and discovery on loopback, as tasks of one event loop.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,98 +16,138 @@
 use crate::ledger::{DrainNotice, Ledgers, UpstreamAttempt, UpstreamStart};
 use crate::scenario::{Fault, FaultKind, Rules, UpstreamSpec};
 
-/// The run's clock, in microseconds, and its ledgers.
+/// The pause before the next `accept` after one has failed for want of a file descriptor.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time between the end of an upstream's process and the start of its replacement.
+const REPLACEMENT_DELAY_US: u64 = 100_000;
+/// The longest time for which discovery holds a watch.
+const MAX_WATCH_MS: u64 = 60_000;
+/// The backlog of each listening socket.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// The clock of a run, in microseconds since its start, and the ledgers of its events.
 pub struct Recorder {
     start: Instant,
-    unix_ms: u64,
+    start_unix_ms: u64,
+    /// What has been recorded so far.
     pub ledgers: RefCell<Ledgers>,
-    /// Bodies of answers are numbered, so that none is like another.
-    answers: Cell<u64>,
+    /// The number of the next response body. It makes every body unique, so that a swapped response is noticed.
+    next_response: Cell<u64>,
 }
 
 impl Recorder {
+    /// Starts the clock with empty ledgers.
     pub fn new() -> Rc<Recorder> {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let unix_ms = u64::try_from(since.as_millis()).unwrap_or_default();
+        let start_unix_ms = u64::try_from(since.as_millis()).unwrap_or_default();
         Rc::new(Recorder {
             start: Instant::now(),
-            unix_ms,
+            start_unix_ms,
             ledgers: RefCell::default(),
-            answers: Cell::new(0),
+            next_response: Cell::new(0),
         })
     }
 
+    /// Microseconds since the start.
     pub fn now_us(&self) -> u64 {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    pub fn instant_at(&self, at: u64) -> Instant {
-        self.start + Duration::from_micros(at)
+    /// The timer's instant for a time in microseconds since the start.
+    pub fn instant_at(&self, at_us: u64) -> Instant {
+        self.start + Duration::from_micros(at_us)
     }
 
-    /// Waits a little: what can't be accepted stands there still, and to try at once would spin.
-    async fn ran_short(&self) {
+    /// Records that no file descriptor was left, and waits a little: the connection is still pending, and another
+    /// `accept` at once would spin.
+    async fn back_off_without_descriptors(&self) {
         self.ledgers.borrow_mut().descriptor_shortages += 1;
-        sleep_until(Instant::now() + Duration::from_millis(10)).await;
+        sleep_until(Instant::now() + ACCEPT_RETRY_DELAY).await;
     }
 
-    fn note(&self, run: &UpstreamAttempt) -> usize {
+    /// Records an attempt and returns its index in the ledger.
+    fn record_attempt(&self, attempt: &UpstreamAttempt) -> usize {
         let mut ledgers = self.ledgers.borrow_mut();
-        ledgers.attempts.push(run.clone());
+        ledgers.attempts.push(attempt.clone());
         ledgers.attempts.len() - 1
     }
 }
 
-/// An attempt that is out, for as long as this is kept: until its answer leaves, its balancer has closed its
-/// connection, or its upstream has died. The ledgers may have been taken by then.
-struct Out<'a>(&'a Recorder, usize);
+/// Guard of an outstanding attempt. Dropping it records the attempt's end: its response is written, its balancer has
+/// closed the connection, or its upstream has died. The ledgers may have been taken by then.
+struct OutstandingAttempt<'a> {
+    recorder: &'a Recorder,
+    /// Index in the ledger of attempts.
+    entry: usize,
+}
 
-impl Drop for Out<'_> {
+impl Drop for OutstandingAttempt<'_> {
     fn drop(&mut self) {
-        if let Some(run) = self.0.ledgers.borrow_mut().attempts.get_mut(self.1) {
-            run.ended_us = Some(self.0.now_us());
+        if let Some(attempt) = self.recorder.ledgers.borrow_mut().attempts.get_mut(self.entry) {
+            attempt.ended_us = Some(self.recorder.now_us());
         }
     }
 }
 
-/// One upstream: a process that may be dead, and the faults that are on.
+/// A fault that is in effect at an upstream.
+struct ActiveFault {
+    kind: FaultKind,
+    factor: f64,
+}
+
+/// One emulated upstream: a process that may be dead, and the faults in effect.
 pub struct Upstream {
-    number: usize,
-    machine: UpstreamSpec,
-    warm: u64,
-    cold_share: f64,
+    index: usize,
+    spec: UpstreamSpec,
+    warm_up_us: u64,
+    initial_capacity_share: f64,
     port: u16,
-    faults: RefCell<Vec<(FaultKind, f64)>>,
-    /// When the present process started; none where it has been up since long ago.
-    boot: Cell<Option<u64>>,
+    faults: RefCell<Vec<ActiveFault>>,
+    /// When the present process started; `None` if it was up and warm before the run.
+    started_us: Cell<Option<u64>>,
     alive: watch::Sender<bool>,
-    /// How many have been replaced here; each has a uid of its own.
-    life: Cell<u32>,
-    /// When each core is free again.
-    free: RefCell<Vec<u64>>,
-    waiting: Cell<usize>,
-    open: Cell<usize>,
-    held: Cell<usize>,
-    requests: Cell<u64>,
+    /// How many processes have been replaced here; each has a uid of its own.
+    incarnation: Cell<u32>,
+    /// When each core is free again, in microseconds.
+    cores_free_at_us: RefCell<Vec<u64>>,
+    /// Requests that wait for a core.
+    queued: Cell<usize>,
+    open_connections: Cell<usize>,
+    /// Requests that wait or are worked on.
+    in_flight: Cell<usize>,
+    /// Requests received so far, load probes not counted.
+    request_count: Cell<u64>,
 }
 
 impl Upstream {
-    fn has(&self, kind: FaultKind) -> Option<f64> {
-        self.faults.borrow().iter().find(|(k, _)| *k == kind).map(|(_, factor)| *factor)
+    /// The factor of the fault of this kind, if one is in effect.
+    fn fault_factor(&self, kind: FaultKind) -> Option<f64> {
+        self.faults.borrow().iter().find(|fault| fault.kind == kind).map(|fault| fault.factor)
     }
 
-    /// The part of its speed that a cold process has.
-    fn present(&self, now: u64) -> f64 {
-        let age = self.boot.get().map_or(self.warm, |at| now.saturating_sub(at));
-        self.cold_share + (1.0 - self.cold_share) * (age as f64 / self.warm.max(1) as f64).min(1.0)
+    fn has_fault(&self, kind: FaultKind) -> bool {
+        self.fault_factor(kind).is_some()
     }
 
-    async fn listen(self: Rc<Self>, book: Rc<Recorder>, listener: TcpListener, balancer: u32) {
+    /// The share of its full speed that the process has now: it rises linearly over the warm-up.
+    fn capacity_share(&self, now_us: u64) -> f64 {
+        let age_us = self.started_us.get().map_or(self.warm_up_us, |at_us| now_us.saturating_sub(at_us));
+        let warm_share = (age_us as f64 / self.warm_up_us.max(1) as f64).min(1.0);
+        self.initial_capacity_share + (1.0 - self.initial_capacity_share) * warm_share
+    }
+
+    /// Accepts the connections of one balancer while the process is alive. Never returns during a run.
+    async fn accept_connections(
+        self: Rc<Self>,
+        recorder: Rc<Recorder>,
+        listener: TcpListener,
+        balancer: u32,
+    ) {
         let mut alive = self.alive.subscribe();
         let mut listener = Some(listener);
         loop {
             let Some(open) = &listener else {
-                // Dead: the port is free, and refuses. It is listened on again at the same address.
+                // While the process is dead its port is closed and refuses connections.
                 if alive.wait_for(|up| *up).await.is_err() {
                     return;
                 }
@@ -115,13 +155,13 @@
                 continue;
             };
             tokio::select! {
-                came = open.accept() => {
-                    let Ok((stream, _)) = came else {
-                        book.ran_short().await;
+                accepted = open.accept() => {
+                    let Ok((stream, _)) = accepted else {
+                        recorder.back_off_without_descriptors().await;
                         continue;
                     };
-                    if self.open.get() < self.machine.max_connections {
-                        spawn_local(self.clone().serve(book.clone(), stream, balancer));
+                    if self.open_connections.get() < self.spec.max_connections {
+                        spawn_local(self.clone().serve_connection(recorder.clone(), stream, balancer));
                     }
                 }
                 _ = alive.wait_for(|up| !*up) => listener = None,
@@ -129,276 +169,301 @@
         }
     }
 
-    /// Each balancer has an address of its own to it, so that an attempt tells whose it is.
+    /// The address under which a balancer reaches this upstream. It differs for each balancer, so that the sender of
+    /// an attempt is known without anything that the balancer says.
     pub fn address_for(&self, balancer: u32) -> SocketAddr {
         SocketAddr::from(([127, 1, (balancer >> 8) as u8, (balancer & 255) as u8 + 1], self.port))
     }
 
-    async fn serve(self: Rc<Self>, book: Rc<Recorder>, stream: TcpStream, balancer: u32) {
+    async fn serve_connection(self: Rc<Self>, recorder: Rc<Recorder>, stream: TcpStream, balancer: u32) {
         let mut alive = self.alive.subscribe();
-        self.open.set(self.open.get() + 1);
-        let mut wire = HttpConnection::new(stream);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let mut connection = HttpConnection::new(stream);
         tokio::select! {
-            _ = self.answers(&book, &mut wire, balancer) => {}
+            _ = self.answer_requests(&recorder, &mut connection, balancer) => {}
             _ = alive.wait_for(|up| !*up) => {
-                // A process that dies resets its connections.
-                let _unset = wire.stream.set_zero_linger();
+                // With zero linger the close sends a reset, as at the death of a process.
+                let _unset = connection.stream.set_zero_linger();
             }
         }
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
     }
 
-    async fn answers(&self, book: &Rc<Recorder>, wire: &mut HttpConnection, balancer: u32) -> io::Result<()> {
-        let mut handshake = (self.machine.handshake_ms * 1000.0) as u64;
-        while wire.wait_for_data().await? {
-            let first_byte = book.now_us();
-            let Some(request) = wire.read_request().await? else { return Ok(()) };
-            let last_byte = book.now_us();
-            let load = format!("Srv-Load: rif={},q={}\r\n", self.held.get(), self.waiting.get());
+    async fn answer_requests(
+        &self,
+        recorder: &Rc<Recorder>,
+        connection: &mut HttpConnection,
+        balancer: u32,
+    ) -> io::Result<()> {
+        let mut handshake_us = (self.spec.handshake_ms * 1000.0) as u64;
+        while connection.wait_for_data().await? {
+            let first_byte_us = recorder.now_us();
+            let Some(request) = connection.read_request().await? else { return Ok(()) };
+            let last_byte_us = recorder.now_us();
+            let load = format!("Srv-Load: rif={},q={}\r\n", self.in_flight.get(), self.queued.get());
             if request.path == "/load" {
-                book.ledgers.borrow_mut().probe_senders.push(balancer);
-                wire.write(&format_response(200, &load, "")).await?;
+                recorder.ledgers.borrow_mut().probe_senders.push(balancer);
+                connection.write(&format_response(200, &load, "")).await?;
                 continue;
             }
             let id = request.header("Req-Id").unwrap_or_default().to_string();
-            let work = request.header("Req-Cost").and_then(|c| c.parse().ok()).unwrap_or_default();
-            let (upstream, life) = (self.number, self.life.get());
-            let run = UpstreamAttempt {
+            let work_us = request.header("Req-Cost").and_then(|cost| cost.parse().ok()).unwrap_or_default();
+            let (upstream, incarnation) = (self.index, self.incarnation.get());
+            let attempt = UpstreamAttempt {
                 id,
                 upstream,
-                incarnation: life,
+                incarnation,
                 balancer,
-                first_byte_us: first_byte,
-                last_byte_us: last_byte,
-                work_us: work,
+                first_byte_us,
+                last_byte_us,
+                work_us,
                 ..UpstreamAttempt::default()
             };
-            let entry = book.note(&run);
-            let out = Out(book, entry);
-            self.requests.set(self.requests.get() + 1);
-            if self
-                .has(FaultKind::Silent)
-                .is_some_and(|one_in| self.requests.get().is_multiple_of(one_in as u64))
+            let entry = recorder.record_attempt(&attempt);
+            let outstanding = OutstandingAttempt { recorder, entry };
+            self.request_count.set(self.request_count.get() + 1);
+            let count = self.request_count.get();
+            if self.fault_factor(FaultKind::Silent).is_some_and(|one_in| count.is_multiple_of(one_in as u64))
             {
-                return wire.wait_for_data().await.map(drop);
+                return connection.wait_for_data().await.map(drop);
             }
-            if self.waiting.get() >= self.machine.max_queued {
-                wire.write(&format_response(503, "Srv-Declined: 1\r\n", "")).await?;
+            if self.queued.get() >= self.spec.max_queued {
+                connection.write(&format_response(503, "Srv-Declined: 1\r\n", "")).await?;
                 continue;
             }
-            if self.has(FaultKind::Errors).is_some() {
-                book.ledgers.borrow_mut().attempts[entry].started_us = Some(book.now_us());
-                wire.write(&format_response(500, &load, "")).await?;
+            if self.has_fault(FaultKind::Errors) {
+                recorder.ledgers.borrow_mut().attempts[entry].started_us = Some(recorder.now_us());
+                connection.write(&format_response(500, &load, "")).await?;
                 continue;
             }
-            let held = Count::one(&self.held);
-            // Goes on when the balancer gives up, but then the attempt is out no longer.
-            let work = self.work(book, entry, run.work_us + std::mem::take(&mut handshake));
+            let in_flight = CountGuard::increment(&self.in_flight);
+            let work = self.work(recorder, entry, attempt.work_us + std::mem::take(&mut handshake_us));
             tokio::pin!(work);
-            let mut out = Some(out);
+            let mut outstanding = Some(outstanding);
+            // When the balancer closes the connection the attempt ends, but its work is still done.
             tokio::select! {
                 biased;
                 () = &mut work => {}
-                more = wire.wait_for_data() => {
-                    out.take_if(|_| !matches!(more, Ok(true)));
+                more = connection.wait_for_data() => {
+                    outstanding.take_if(|_| !matches!(more, Ok(true)));
                     work.await;
                 }
             }
-            if self.has(FaultKind::Hang).is_some() {
-                return wire.wait_for_data().await.map(drop);
+            if self.has_fault(FaultKind::Hang) {
+                return connection.wait_for_data().await.map(drop);
             }
-            drop((held, out));
-            let number = book.answers.get();
-            book.answers.set(number + 1);
-            let body = format!("{} by {} as answer {number}", run.id, self.number);
+            drop((in_flight, outstanding));
+            let number = recorder.next_response.get();
+            recorder.next_response.set(number + 1);
+            let body = format!("{} by {} as answer {number}", attempt.id, self.index);
             let text = format_response(200, &load, &body);
-            if self.has(FaultKind::Cut).is_some() {
-                return wire.write(&text[..text.len() / 2]).await;
+            if self.has_fault(FaultKind::Cut) {
+                return connection.write(&text[..text.len() / 2]).await;
             }
-            if self.has(FaultKind::Spoil).is_some() {
-                wire.write("\u{1}\u{2}noise, and no answer\r\n\r\n").await?;
+            if self.has_fault(FaultKind::Spoil) {
+                connection.write("\u{1}\u{2}noise, and no answer\r\n\r\n").await?;
                 continue;
             }
-            book.ledgers.borrow_mut().attempts[entry].answer_body = Some(body);
-            wire.write(&text).await?;
+            recorder.ledgers.borrow_mut().attempts[entry].answer_body = Some(body);
+            connection.write(&text).await?;
         }
         Ok(())
     }
 
-    /// Waits for the first core that is free, then for the work's time. A core is a time at which it is free
-    /// again, so hundreds of them need no processor.
-    async fn work(&self, book: &Recorder, entry: usize, work: u64) {
-        let now = book.now_us();
-        let slower = self.has(FaultKind::Slow).unwrap_or(1.0);
-        let takes = work as f64 * slower / (self.machine.speed_factor * self.present(now));
-        let (began, end) = {
-            let mut free = self.free.borrow_mut();
-            let Some(core) = free.iter_mut().min() else { return };
-            let began = now.max(*core);
-            *core = began + takes as u64;
-            (began, *core)
+    /// Waits for the first free core, and then for as long as the work takes on it. A core is only the time at which
+    /// it is free again, so that hundreds of them need no processor.
+    async fn work(&self, recorder: &Recorder, entry: usize, work_us: u64) {
+        let now_us = recorder.now_us();
+        let slowdown = self.fault_factor(FaultKind::Slow).unwrap_or(1.0);
+        let takes_us = work_us as f64 * slowdown / (self.spec.speed_factor * self.capacity_share(now_us));
+        let (started_us, end_us) = {
+            let mut cores = self.cores_free_at_us.borrow_mut();
+            let Some(core) = cores.iter_mut().min() else { return };
+            let started_us = now_us.max(*core);
+            *core = started_us + takes_us as u64;
+            (started_us, *core)
         };
-        let waiting = Count::one(&self.waiting);
-        sleep_until(book.instant_at(began)).await;
-        drop(waiting);
-        book.ledgers.borrow_mut().attempts[entry].started_us = Some(began);
-        sleep_until(book.instant_at(end)).await;
+        let queued = CountGuard::increment(&self.queued);
+        sleep_until(recorder.instant_at(started_us)).await;
+        drop(queued);
+        recorder.ledgers.borrow_mut().attempts[entry].started_us = Some(started_us);
+        sleep_until(recorder.instant_at(end_us)).await;
     }
 
-    fn die(&self) {
+    /// Ends the process: its connections are reset and its work is lost.
+    fn kill(&self) {
         self.alive.send_replace(false);
-        self.free.borrow_mut().fill(0);
+        self.cores_free_at_us.borrow_mut().fill(0);
     }
 
-    fn boot(&self, book: &Recorder) {
-        self.boot.set(Some(book.now_us()));
-        book.ledgers
-            .borrow_mut()
-            .upstream_starts
-            .push(UpstreamStart { upstream: self.number, at_us: book.now_us() });
+    /// Starts a cold process.
+    fn start(&self, recorder: &Recorder) {
+        self.started_us.set(Some(recorder.now_us()));
+        let start = UpstreamStart { upstream: self.index, at_us: recorder.now_us() };
+        recorder.ledgers.borrow_mut().upstream_starts.push(start);
         self.alive.send_replace(true);
     }
 }
 
-/// Counts one for as long as it is kept, also where its task is ended.
-struct Count<'a>(&'a Cell<usize>);
+/// Guard that counts one until it is dropped, which also happens when its task is aborted.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Count<'a> {
-    fn one(cell: &'a Cell<usize>) -> Self {
-        cell.set(cell.get() + 1);
-        Count(cell)
+impl<'a> CountGuard<'a> {
+    fn increment(count: &'a Cell<usize>) -> Self {
+        count.set(count.get() + 1);
+        CountGuard(count)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
+/// Listens on this address, or on a free port of 127.0.0.1.
 fn bind(address: Option<SocketAddr>) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))))?;
-    socket.listen(1024)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Between the end of an upstream's process and the start of the one in its place.
-const REPLACED_AFTER: u64 = 100_000;
-
+/// All emulated upstreams and their discovery. Dropping it stops them.
 pub struct Fleet {
+    /// The clock and ledgers of the run.
     pub recorder: Rc<Recorder>,
+    /// The upstreams, by index.
     pub upstreams: Vec<Rc<Upstream>>,
-    state: Rc<List>,
+    discovery: Rc<Discovery>,
+    /// The address of discovery for each balancer.
     pub discovery_addresses: Vec<SocketAddr>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What discovery knows.
-struct List {
+/// The state of discovery.
+struct Discovery {
+    /// The version of the list of upstreams.
     version: Cell<u64>,
-    /// Which upstreams are listed as leaving.
-    leaves: RefCell<Vec<bool>>,
-    down: Cell<bool>,
+    /// Whether each upstream is listed as leaving.
+    leaving: RefCell<Vec<bool>>,
+    /// Whether it answers everything with 503.
+    is_down: Cell<bool>,
+    /// Wakes the watches.
     changed: Notify,
 }
 
 impl Fleet {
-    /// Listens for each balancer at addresses of its own.
+    /// Starts all upstreams and discovery, which listen at addresses of their own for each balancer.
+    ///
+    /// # Errors
+    /// A listening socket could not be opened.
     pub fn start(
-        book: Rc<Recorder>,
-        machines: Vec<UpstreamSpec>,
+        recorder: Rc<Recorder>,
+        specs: Vec<UpstreamSpec>,
         rules: &Rules,
         balancers: u32,
     ) -> io::Result<Fleet> {
-        let leaves = RefCell::new(vec![false; machines.len()]);
-        let (version, down, changed) = (Cell::new(1), Cell::new(false), Notify::new());
-        let state = Rc::new(List { version, leaves, down, changed });
-        let (mut upstreams, mut tasks, mut discovery) = (Vec::new(), Vec::new(), Vec::new());
-        for (number, machine) in machines.into_iter().enumerate() {
-            let first = bind(Some(SocketAddr::from(([127, 1, 0, 1], 0))))?;
+        let discovery = Rc::new(Discovery {
+            version: Cell::new(1),
+            leaving: RefCell::new(vec![false; specs.len()]),
+            is_down: Cell::new(false),
+            changed: Notify::new(),
+        });
+        let (mut upstreams, mut tasks, mut discovery_addresses) = (Vec::new(), Vec::new(), Vec::new());
+        for (index, spec) in specs.into_iter().enumerate() {
+            let first_listener = bind(Some(SocketAddr::from(([127, 1, 0, 1], 0))))?;
             let upstream = Rc::new(Upstream {
-                number,
-                free: RefCell::new(vec![0; machine.cores as usize]),
-                machine,
-                warm: rules.warm_up_ms * 1000,
-                cold_share: rules.initial_capacity_share,
-                port: first.local_addr()?.port(),
+                index,
+                cores_free_at_us: RefCell::new(vec![0; spec.cores as usize]),
+                spec,
+                warm_up_us: rules.warm_up_ms * 1000,
+                initial_capacity_share: rules.initial_capacity_share,
+                port: first_listener.local_addr()?.port(),
                 faults: RefCell::default(),
-                boot: Cell::new(None),
+                started_us: Cell::new(None),
                 alive: watch::channel(true).0,
-                life: Cell::new(0),
-                waiting: Cell::new(0),
-                open: Cell::new(0),
-                held: Cell::new(0),
-                requests: Cell::new(0),
+                incarnation: Cell::new(0),
+                queued: Cell::new(0),
+                open_connections: Cell::new(0),
+                in_flight: Cell::new(0),
+                request_count: Cell::new(0),
             });
-            let mut first = Some(first);
+            let mut first_listener = Some(first_listener);
             for balancer in 0..balancers {
-                let listener = first.take().map_or_else(|| bind(Some(upstream.address_for(balancer))), Ok)?;
-                tasks.push(spawn_local(upstream.clone().listen(book.clone(), listener, balancer)));
+                let listener = match first_listener.take() {
+                    Some(listener) => listener,
+                    None => bind(Some(upstream.address_for(balancer)))?,
+                };
+                let accepting = upstream.clone().accept_connections(recorder.clone(), listener, balancer);
+                tasks.push(spawn_local(accepting));
             }
             upstreams.push(upstream);
         }
-        let mut fleet = Fleet { recorder: book, upstreams, state, discovery_addresses: Vec::new(), tasks };
+        let mut fleet = Fleet { recorder, upstreams, discovery, discovery_addresses: Vec::new(), tasks };
         for balancer in 0..balancers {
             let listener = bind(None)?;
-            discovery.push(listener.local_addr()?);
-            let (book, ups, state) = (fleet.recorder.clone(), fleet.upstreams.clone(), fleet.state.clone());
+            discovery_addresses.push(listener.local_addr()?);
+            let (recorder, upstreams, discovery) =
+                (fleet.recorder.clone(), fleet.upstreams.clone(), fleet.discovery.clone());
             fleet.tasks.push(spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (book, ups, state) = (book.clone(), ups.clone(), state.clone());
-                    spawn_local(async move {
-                        state.serve(&book, &ups, HttpConnection::new(stream), balancer).await
-                    });
+                    let (recorder, upstreams, discovery) =
+                        (recorder.clone(), upstreams.clone(), discovery.clone());
+                    let connection = HttpConnection::new(stream);
+                    spawn_local(
+                        async move { discovery.serve(&recorder, &upstreams, connection, balancer).await },
+                    );
                 }
             }));
         }
-        fleet.discovery_addresses = discovery;
+        fleet.discovery_addresses = discovery_addresses;
         Ok(fleet)
     }
 
-    /// The list as a balancer remembers it from before its start.
+    /// The list of upstreams with which a balancer is configured at its start.
     pub fn initial_list(&self, balancer: u32) -> serde_json::Value {
-        self.state.list(&self.recorder, &self.upstreams, balancer)
+        self.discovery.upstream_list(&self.recorder, &self.upstreams, balancer)
     }
 
-    /// Plays one fault from its moment to its end.
-    pub async fn inject_fault(&self, trouble: &Fault, from: u64) {
-        let at = from + (trouble.at_seconds * 1e6) as u64;
-        sleep_until(self.recorder.instant_at(at)).await;
-        let Some(upstream) = self.upstreams.get(trouble.target_index) else { return };
-        let in_zone = self.upstreams.iter().filter(|up| up.machine.zone == trouble.zone);
-        match trouble.kind {
-            FaultKind::Kill => upstream.die(),
-            FaultKind::KillZone => in_zone.clone().for_each(|up| up.die()),
-            FaultKind::Drain | FaultKind::Replace => self.state.leaves(trouble.target_index),
-            FaultKind::DiscoveryDown => self.state.down.set(true),
-            kind => upstream.faults.borrow_mut().push((kind, trouble.factor)),
+    /// Waits for a fault's start, injects it, and ends it after its duration. `load_start_us` is the time from which
+    /// the scenario counts.
+    pub async fn inject_fault(&self, fault: &Fault, load_start_us: u64) {
+        let at_us = load_start_us + (fault.at_seconds * 1e6) as u64;
+        sleep_until(self.recorder.instant_at(at_us)).await;
+        let Some(upstream) = self.upstreams.get(fault.target_index) else { return };
+        let in_zone = self.upstreams.iter().filter(|upstream| upstream.spec.zone == fault.zone);
+        match fault.kind {
+            FaultKind::Kill => upstream.kill(),
+            FaultKind::KillZone => in_zone.clone().for_each(|upstream| upstream.kill()),
+            FaultKind::Drain | FaultKind::Replace => self.discovery.mark_leaving(fault.target_index),
+            FaultKind::DiscoveryDown => self.discovery.is_down.set(true),
+            kind => upstream.faults.borrow_mut().push(ActiveFault { kind, factor: fault.factor }),
         }
-        self.state.changed.notify_waiters();
-        let Some(lasts) = trouble.duration_seconds else { return };
-        sleep_until(self.recorder.instant_at(at + (lasts * 1e6) as u64)).await;
-        match trouble.kind {
+        self.discovery.changed.notify_waiters();
+        let Some(duration_seconds) = fault.duration_seconds else { return };
+        sleep_until(self.recorder.instant_at(at_us + (duration_seconds * 1e6) as u64)).await;
+        match fault.kind {
             FaultKind::Kill => {
-                upstream.boot(&self.recorder);
-                self.state.news();
+                upstream.start(&self.recorder);
+                self.discovery.publish_change();
             }
             FaultKind::KillZone => {
-                in_zone.for_each(|up| up.boot(&self.recorder));
-                self.state.news();
+                in_zone.for_each(|upstream| upstream.start(&self.recorder));
+                self.discovery.publish_change();
             }
             FaultKind::Replace => {
-                upstream.die();
-                // Its tasks have to see that it died before another listens there.
-                sleep_until(self.recorder.instant_at(self.recorder.now_us() + REPLACED_AFTER)).await;
-                upstream.life.set(upstream.life.get() + 1);
-                upstream.boot(&self.recorder);
-                self.state.stays(trouble.target_index);
+                upstream.kill();
+                // The tasks of the old process have to see its end before the next one listens on the same port.
+                let restart_us = self.recorder.now_us() + REPLACEMENT_DELAY_US;
+                sleep_until(self.recorder.instant_at(restart_us)).await;
+                upstream.incarnation.set(upstream.incarnation.get() + 1);
+                upstream.start(&self.recorder);
+                self.discovery.mark_active(fault.target_index);
             }
             FaultKind::Drain => {}
-            FaultKind::DiscoveryDown => self.state.down.set(false),
-            kind => upstream.faults.borrow_mut().retain(|(k, _)| *k != kind),
+            FaultKind::DiscoveryDown => self.discovery.is_down.set(false),
+            kind => upstream.faults.borrow_mut().retain(|active| active.kind != kind),
         }
     }
 }
@@ -409,80 +474,91 @@
     }
 }
 
-impl List {
-    fn news(&self) {
+impl Discovery {
+    /// Raises the version and wakes the watches.
+    fn publish_change(&self) {
         self.version.set(self.version.get() + 1);
         self.changed.notify_waiters();
     }
 
-    fn stays(&self, which: usize) {
-        self.leaves.borrow_mut()[which] = false;
-        self.news();
+    fn mark_active(&self, upstream: usize) {
+        self.leaving.borrow_mut()[upstream] = false;
+        self.publish_change();
     }
 
-    fn leaves(&self, which: usize) {
-        self.news();
-        self.leaves.borrow_mut()[which] = true;
+    fn mark_leaving(&self, upstream: usize) {
+        self.publish_change();
+        self.leaving.borrow_mut()[upstream] = true;
     }
 
-    fn list(&self, book: &Recorder, upstreams: &[Rc<Upstream>], balancer: u32) -> serde_json::Value {
-        let entry = |(number, up): (usize, &Rc<Upstream>)| {
-            let leaves = self.leaves.borrow()[number];
+    /// The list of upstreams in the form of the discovery protocol.
+    fn upstream_list(
+        &self,
+        recorder: &Recorder,
+        upstreams: &[Rc<Upstream>],
+        balancer: u32,
+    ) -> serde_json::Value {
+        let entry = |(index, upstream): (usize, &Rc<Upstream>)| {
+            let (spec, is_leaving) = (&upstream.spec, self.leaving.borrow()[index]);
             json!({
-                "uid": format!("u{number}-{}", up.life.get()), "endpoint": up.address_for(balancer).to_string(),
-                "az": up.machine.zone, "pod_group": up.machine.group, "model": "m", "state": if leaves { "leaving" } else { "active" },
-                "capacity_hint": f64::from(up.machine.cores) * up.machine.speed_factor,
-                "boot_ms": up.boot.get().map_or(0, |at| book.unix_ms + at / 1000),
+                "uid": format!("u{index}-{}", upstream.incarnation.get()),
+                "endpoint": upstream.address_for(balancer).to_string(),
+                "az": spec.zone,
+                "pod_group": spec.group,
+                "model": "m",
+                "state": if is_leaving { "leaving" } else { "active" },
+                "capacity_hint": f64::from(spec.cores) * spec.speed_factor,
+                "boot_ms": upstream.started_us.get().map_or(0, |at_us| recorder.start_unix_ms + at_us / 1000),
             })
         };
         let targets: Vec<_> = upstreams.iter().enumerate().map(entry).collect();
         json!({ "rev": self.version.get(), "all": true, "targets": targets })
     }
 
+    /// Answers a balancer's requests for the list. A request with `from` is a watch: it is held for up to `hold_ms`
+    /// until the list is newer than that version.
     async fn serve(
         &self,
-        book: &Recorder,
+        recorder: &Recorder,
         upstreams: &[Rc<Upstream>],
-        mut wire: HttpConnection,
+        mut connection: HttpConnection,
         balancer: u32,
     ) {
-        while let Ok(Some(request)) = wire.read_request().await {
-            let number = |name: &str| {
+        while let Ok(Some(request)) = connection.read_request().await {
+            let parameter = |name: &str| {
                 let (_, query) = request.path.split_once('?')?;
                 query
                     .split('&')
                     .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
             };
-            if let Some(from) = number("from") {
-                let held = Duration::from_millis(number("hold_ms").unwrap_or_default().min(60_000));
-                let news = async {
-                    while self.version.get() <= from && !self.down.get() {
+            if let Some(from) = parameter("from") {
+                let hold = Duration::from_millis(parameter("hold_ms").unwrap_or_default().min(MAX_WATCH_MS));
+                let change = async {
+                    while self.version.get() <= from && !self.is_down.get() {
                         self.changed.notified().await;
                     }
                 };
-                let _nothing_new = timeout(held, news).await;
+                let _timed_out = timeout(hold, change).await;
             }
-            if self.down.get() {
-                let _ended = wire.write(&format_response(503, "", "")).await;
+            if self.is_down.get() {
+                let _ended = connection.write(&format_response(503, "", "")).await;
                 return;
             }
-            let list = self.list(book, upstreams, balancer);
-            let leaving: Vec<usize> = (0..upstreams.len()).filter(|n| self.leaves.borrow()[*n]).collect();
-            if wire.write(&format_response(200, "", &list.to_string())).await.is_err() {
+            let list = self.upstream_list(recorder, upstreams, balancer);
+            let leaving: Vec<usize> =
+                (0..upstreams.len()).filter(|index| self.leaving.borrow()[*index]).collect();
+            if connection.write(&format_response(200, "", &list.to_string())).await.is_err() {
                 return;
             }
-            let (at, mut ledgers) = (book.now_us(), book.ledgers.borrow_mut());
+            let (at_us, mut ledgers) = (recorder.now_us(), recorder.ledgers.borrow_mut());
             for upstream in leaving {
-                let life = upstreams[upstream].life.get();
-                let is_it =
-                    |t: &DrainNotice| (t.balancer, t.upstream, t.incarnation) == (balancer, upstream, life);
-                if !ledgers.drain_notices.iter().any(is_it) {
-                    ledgers.drain_notices.push(DrainNotice {
-                        balancer,
-                        upstream,
-                        incarnation: life,
-                        at_us: at,
-                    });
+                let incarnation = upstreams[upstream].incarnation.get();
+                let is_same = |notice: &DrainNotice| {
+                    (notice.balancer, notice.upstream, notice.incarnation)
+                        == (balancer, upstream, incarnation)
+                };
+                if !ledgers.drain_notices.iter().any(is_same) {
+                    ledgers.drain_notices.push(DrainNotice { balancer, upstream, incarnation, at_us });
                 }
             }
         }
--- a/crates/pondlb-lab/src/lib.rs
+++ b/crates/pondlb-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: an emulated fleet, an open load and a judge of the four rules, all on loopback.
-//! docs/lab.md tells why it is built like this.
+//! The laboratory: runs real balancers on loopback with an emulated fleet and an open load, and judges from the
+//! recorded events whether they kept the rules. docs/lab.md gives the reasons for its design.
 
 pub mod balancers;
 pub mod child_process;
--- a/crates/pondlb-lab/src/load.rs
+++ b/crates/pondlb-lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients: they follow a plan drawn ahead, whatever becomes of the answers (an open loop).
+//! The clients: they send the planned requests at their planned times, whatever the responses (an open load).
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,54 +15,58 @@
 use crate::ledger::ClientRequest;
 use crate::scenario::{Effect, PlannedRequest, Scenario};
 
-/// A client hangs on so long past the deadline, to see what still comes.
-const BEYOND: Duration = Duration::from_millis(500);
-/// EMFILE, of this process, not of the balancer it speaks to.
-const NO_DESCRIPTOR: i32 = 24;
-const CONNECT: Duration = Duration::from_millis(500);
-/// How often clients check a balancer's health: one that is told to end serves for longer than that.
-const CHECK_EVERY: Duration = Duration::from_millis(300);
-/// How often the clock is looked at: a loop late with its own ticks is late with the fleet's work too.
-const TICK: u64 = 10_000;
+/// How long past the deadline a client waits, so that late responses are seen too.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(500);
+/// The error `EMFILE`: this process, not the balancer to which it connects, has no file descriptor left.
+const EMFILE: i32 = 24;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often clients check a balancer's health. A balancer that shuts down goes on serving for longer than that.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// The period of the timer whose lateness is recorded, in microseconds. An event loop that is late for it is late for
+/// the fleet's work too.
+const TICK_US: u64 = 10_000;
 
-/// One balancer as clients see it: its address, the connections they keep to it, how often it was killed.
+/// One balancer as clients see it, or an upstream that they reach directly.
 pub struct Endpoint {
+    /// Where it listens.
     pub address: SocketAddr,
-    kills: Cell<u32>,
-    /// The last check of its health was good.
+    kill_count: Cell<u32>,
+    /// Whether the last health check succeeded.
     is_healthy: Cell<bool>,
+    /// Connections that are kept open between requests.
     idle: RefCell<Vec<Connection>>,
 }
 
-/// A connection to a balancer.
+/// A connection to an endpoint.
 struct Connection {
-    wire: HttpConnection,
-    /// How often the balancer had been killed when it was made: another count means that its process is gone.
-    kills: u32,
+    http: HttpConnection,
+    /// The endpoint's kill count when it was opened. If the count has changed, the process at the other end is gone.
+    kill_count: u32,
 }
 
 impl Endpoint {
+    /// An endpoint without connections, which counts as healthy until a check fails.
     pub fn new(address: SocketAddr) -> Rc<Endpoint> {
         Rc::new(Endpoint {
             address,
-            kills: Cell::new(0),
+            kill_count: Cell::new(0),
             is_healthy: Cell::new(true),
             idle: RefCell::default(),
         })
     }
 
-    /// A request during which the count changes may have been lost with the process.
+    /// Counts a kill of its process. A request during which the count changes may have been lost with the process.
     pub fn count_kill(&self) {
-        self.kills.set(self.kills.get() + 1);
+        self.kill_count.set(self.kill_count.get() + 1);
     }
 
-    /// Checks its health again and again, as clients do that choose among balancers. Never returns.
+    /// Checks its health periodically, as clients do that choose among balancers. Never returns.
     async fn check_health(&self) {
         loop {
-            sleep(CHECK_EVERY).await;
-            let is_healthy = matches!(timeout(CONNECT, is_ready(self.address)).await, Ok(Ok(true)));
+            sleep(HEALTH_CHECK_INTERVAL).await;
+            let is_healthy = matches!(timeout(CONNECT_TIMEOUT, is_ready(self.address)).await, Ok(Ok(true)));
             if !is_healthy {
-                // Nothing more is sent on them, and the balancer need not wait for that.
+                // Nothing more is sent on its connections. Closing them lets the balancer end without waiting for them.
                 self.idle.borrow_mut().clear();
             }
             self.is_healthy.set(is_healthy);
@@ -70,176 +74,183 @@
     }
 }
 
-/// What a client does where its balancer takes no request.
+/// What a client does if its balancer does not take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failover {
-    /// Leaves it at that.
+    /// It gives up.
     Never,
-    /// Goes to the next balancer: where the last check of health was bad, where no connection comes up, and where a new one
-    /// is closed without an answer to a request that may be repeated.
+    /// It tries the next balancer: if the last health check failed, if no connection can be established, and if a new
+    /// connection is closed without a response to an idempotent request.
     NextBalancer,
 }
 
 impl Failover {
-    /// Which doors to try in turn, the planned one first.
-    fn candidates(self, planned: usize, doors: &[Rc<Endpoint>]) -> Vec<usize> {
+    /// The indices of the endpoints to try in turn, the planned one first and unhealthy ones last.
+    fn candidates(self, planned: usize, endpoints: &[Rc<Endpoint>]) -> Vec<usize> {
         if self == Failover::Never {
             return vec![planned];
         }
         let mut candidates: Vec<usize> =
-            (0..doors.len()).map(|step| (planned + step) % doors.len()).collect();
-        // Stable: with no healthy one at all they are tried in this order too.
-        candidates.sort_by_key(|door| !doors[*door].is_healthy.get());
+            (0..endpoints.len()).map(|step| (planned + step) % endpoints.len()).collect();
+        // The sort is stable: endpoints of the same health stay in this order.
+        candidates.sort_by_key(|index| !endpoints[*index].is_healthy.get());
         candidates
     }
 }
 
-/// One request and what its client is.
+/// One request and the client that sends it.
 struct Client<'a> {
     scenario: &'a Scenario,
     planned: &'a PlannedRequest,
-    book: &'a Recorder,
-    /// Whether another balancer could take it.
+    recorder: &'a Recorder,
     failover: Failover,
 }
 
-/// What became of a request at one balancer.
-enum Attempt {
-    /// Answered, or sent with nothing to be done about it.
+/// What came of a request at one balancer.
+enum SendOutcome {
+    /// It was answered, or it was sent and must not be sent again.
     Final,
-    /// Another balancer may be asked.
-    NotTaken,
+    /// It may be sent to another balancer.
+    TryNext,
 }
 
-/// Sends all that is planned, counted from `from`, and returns once the last request has had its time.
+/// Sends all planned requests, whose times count from `load_start_us`, and returns once each has been answered or has
+/// timed out.
 pub async fn send_planned(
     scenario: &Rc<Scenario>,
     plan: Vec<PlannedRequest>,
-    doors: &[Rc<Endpoint>],
+    endpoints: &[Rc<Endpoint>],
     failover: Failover,
-    book: &Rc<Recorder>,
-    from: u64,
+    recorder: &Rc<Recorder>,
+    load_start_us: u64,
 ) {
-    let mut checks = JoinSet::new();
+    let mut health_checks = JoinSet::new();
     if failover == Failover::NextBalancer {
-        for door in doors {
-            let door = door.clone();
-            checks.spawn_local(async move { door.check_health().await });
+        for endpoint in endpoints {
+            let endpoint = endpoint.clone();
+            health_checks.spawn_local(async move { endpoint.check_health().await });
         }
     }
-    let doors: Rc<[Rc<Endpoint>]> = doors.into();
+    let endpoints: Rc<[Rc<Endpoint>]> = endpoints.into();
     let mut open: Vec<JoinHandle<()>> = Vec::with_capacity(plan.len());
-    let ticks = spawn_local(record_timer_lateness(book.clone()));
+    let timer = spawn_local(record_timer_lateness(recorder.clone()));
     for planned in plan {
-        let intended = from + planned.at_us;
-        sleep_until(book.instant_at(intended)).await;
-        book.ledgers.borrow_mut().lateness_us.push(book.now_us().saturating_sub(intended));
-        let (scenario, book) = (scenario.clone(), book.clone());
-        let doors = doors.clone();
+        let intended_us = load_start_us + planned.at_us;
+        sleep_until(recorder.instant_at(intended_us)).await;
+        let lateness_us = recorder.now_us().saturating_sub(intended_us);
+        recorder.ledgers.borrow_mut().lateness_us.push(lateness_us);
+        let (scenario, recorder) = (scenario.clone(), recorder.clone());
+        let endpoints = endpoints.clone();
         open.push(spawn_local(async move {
-            let client = Client { scenario: &scenario, planned: &planned, book: &book, failover };
-            let asked = client.ask(&doors, intended).await;
-            book.ledgers.borrow_mut().requests.push(asked);
+            let client = Client { scenario: &scenario, planned: &planned, recorder: &recorder, failover };
+            let request = client.send(&endpoints, intended_us).await;
+            recorder.ledgers.borrow_mut().requests.push(request);
         }));
     }
     for task in open {
         let _ended = task.await;
     }
-    ticks.abort();
+    timer.abort();
 }
 
-pub(crate) async fn record_timer_lateness(book: Rc<Recorder>) {
-    let mut next = book.now_us();
+/// Records how late a periodic timer of this event loop fires. Ticks that were missed altogether are skipped. Never
+/// returns.
+pub(crate) async fn record_timer_lateness(recorder: Rc<Recorder>) {
+    let mut next_us = recorder.now_us();
     loop {
-        next += TICK;
-        sleep_until(book.instant_at(next)).await;
-        let late = book.now_us().saturating_sub(next);
-        book.ledgers.borrow_mut().lateness_us.push(late);
-        next += late / TICK * TICK;
+        next_us += TICK_US;
+        sleep_until(recorder.instant_at(next_us)).await;
+        let lateness_us = recorder.now_us().saturating_sub(next_us);
+        recorder.ledgers.borrow_mut().lateness_us.push(lateness_us);
+        next_us += lateness_us / TICK_US * TICK_US;
     }
 }
 
 impl Client<'_> {
-    /// Asks one balancer after the other until one has taken the request.
-    async fn ask(&self, doors: &[Rc<Endpoint>], intended: u64) -> ClientRequest {
-        let mut asked = ClientRequest {
+    /// Sends the request to one balancer after the other until the outcome is final.
+    async fn send(&self, endpoints: &[Rc<Endpoint>], intended_us: u64) -> ClientRequest {
+        let mut request = ClientRequest {
             id: self.planned.id.clone(),
             class: self.planned.class,
             balancer: self.planned.balancer,
-            intended_us: intended,
+            intended_us,
             ..ClientRequest::default()
         };
-        for candidate in self.failover.candidates(self.planned.balancer as usize, doors) {
-            (asked.balancer, asked.sent_us) = (candidate as u32, None);
-            if let Attempt::Final = self.ask_at(&doors[candidate], &mut asked).await {
+        for candidate in self.failover.candidates(self.planned.balancer as usize, endpoints) {
+            (request.balancer, request.sent_us) = (candidate as u32, None);
+            if let SendOutcome::Final = self.send_to(&endpoints[candidate], &mut request).await {
                 break;
             }
         }
-        asked
+        request
     }
 
-    async fn ask_at(&self, door: &Endpoint, asked: &mut ClientRequest) -> Attempt {
+    async fn send_to(&self, endpoint: &Endpoint, request: &mut ClientRequest) -> SendOutcome {
         let class = &self.scenario.classes[self.planned.class];
-        let text = request(self.planned, class.effect, &class.name, class.deadline_ms);
-        let most = Duration::from_millis(class.deadline_ms) + BEYOND;
-        // A balancer may close a connection between requests: what crosses that is sent once more, on a new one.
-        for kept in [true, false] {
-            let Some(mut connection) = connection(door, self.book, kept).await else { continue };
-            if connection.wire.write(&text).await.is_err() {
+        let text = request_text(self.planned, class.effect, &class.name, class.deadline_ms);
+        let response_timeout = Duration::from_millis(class.deadline_ms) + LATE_RESPONSE_WAIT;
+        // A balancer may close an idle connection just as a request is sent on it; the request is then sent again on a
+        // new connection.
+        for reuse in [true, false] {
+            let Some(mut connection) = open_connection(endpoint, self.recorder, reuse).await else {
+                continue;
+            };
+            if connection.http.write(&text).await.is_err() {
                 continue;
             }
-            asked.sent_us = Some(self.book.now_us());
-            let answer = timeout(most, connection.wire.read_response()).await;
-            asked.balancer_killed = door.kills.get() != connection.kills;
-            match answer {
-                Ok(Ok(Some(answer))) => {
-                    note(asked, answer, self.book.now_us());
-                    // A second answer may come right behind the first.
+            request.sent_us = Some(self.recorder.now_us());
+            let response = timeout(response_timeout, connection.http.read_response()).await;
+            request.balancer_killed = endpoint.kill_count.get() != connection.kill_count;
+            match response {
+                Ok(Ok(Some(response))) => {
+                    record_response(request, response, self.recorder.now_us());
+                    // A second response may arrive right behind the first.
                     tokio::task::yield_now().await;
-                    asked.answer_count = 1 + u32::from(connection.wire.has_unread_data());
-                    door.idle.borrow_mut().push(connection);
+                    request.answer_count = 1 + u32::from(connection.http.has_unread_data());
+                    endpoint.idle.borrow_mut().push(connection);
                 }
-                // Not where it was killed: it may have taken the request, and another would be the client's own
-                // repeat of an order.
-                Ok(Ok(None)) if kept && !asked.balancer_killed => {
-                    asked.sent_us = None;
+                // Not after a kill: the balancer may have taken the request, and sending it again would be a repeat
+                // by the client of a request that may run only once.
+                Ok(Ok(None)) if reuse && !request.balancer_killed => {
+                    request.sent_us = None;
                     continue;
                 }
                 Ok(_) if self.failover == Failover::NextBalancer && class.effect == Effect::Idempotent => {
-                    return Attempt::NotTaken;
+                    return SendOutcome::TryNext;
                 }
                 _ => {}
             }
-            return Attempt::Final;
+            return SendOutcome::Final;
         }
-        Attempt::NotTaken
+        SendOutcome::TryNext
     }
 }
 
-fn note(asked: &mut ClientRequest, answer: Message, now: u64) {
-    (asked.answered_us, asked.status, asked.body) = (Some(now), answer.status, answer.body);
+fn record_response(request: &mut ClientRequest, response: Message, now_us: u64) {
+    (request.answered_us, request.status, request.body) = (Some(now_us), response.status, response.body);
 }
 
-/// One kept that nothing has come on, or a new one.
-async fn connection(door: &Endpoint, book: &Recorder, kept: bool) -> Option<Connection> {
-    if kept {
+/// An idle connection on which nothing has arrived (if `reuse`), or a new one.
+async fn open_connection(endpoint: &Endpoint, recorder: &Recorder, reuse: bool) -> Option<Connection> {
+    if reuse {
         loop {
-            let mut connection = door.idle.borrow_mut().pop()?;
-            if !connection.wire.has_unread_data() {
+            let mut connection = endpoint.idle.borrow_mut().pop()?;
+            if !connection.http.has_unread_data() {
                 return Some(connection);
             }
         }
     }
-    let kills = door.kills.get();
-    let stream = timeout(CONNECT, TcpStream::connect(door.address)).await.ok()?;
-    if stream.as_ref().is_err_and(|e| e.raw_os_error() == Some(NO_DESCRIPTOR)) {
-        book.ledgers.borrow_mut().descriptor_shortages += 1;
+    let kill_count = endpoint.kill_count.get();
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(endpoint.address)).await.ok()?;
+    if stream.as_ref().is_err_and(|e| e.raw_os_error() == Some(EMFILE)) {
+        recorder.ledgers.borrow_mut().descriptor_shortages += 1;
     }
     let stream = stream.ok()?;
-    Some(Connection { wire: HttpConnection::new(stream), kills })
+    Some(Connection { http: HttpConnection::new(stream), kill_count })
 }
 
-fn request(planned: &PlannedRequest, effect: Effect, class: &str, deadline_ms: u64) -> String {
+/// The request as it is sent. Requests that must not run twice are POSTs.
+fn request_text(planned: &PlannedRequest, effect: Effect, class: &str, deadline_ms: u64) -> String {
     let head = format!(
         "Host: lab\r\nReq-Id: {}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline_ms}m\r\nReq-Cost: {}\r\n",
         planned.id, planned.work_us
