--- a/crates/pondlb-lab/src/compare/tests.rs
+++ b/crates/pondlb-lab/src/compare/tests.rs
@@ -1,25 +1,26 @@
-//! When a difference between two builds counts as seen.
+//! When a difference between two builds counts as significant.
 
 use expect_test::expect;
 
 use super::*;
-use crate::run::Figures;
+use crate::run::ClassFigures;
 
-fn report(p99: f64, void: bool) -> Report {
-    let figures = Figures { name: "s".into(), asked: 100, in_time: 90, p99, ..Figures::default() };
-    let void = void.then(|| "late".into());
+fn report(p99_ms: f64, is_void: bool) -> Report {
+    let figures =
+        ClassFigures { name: "s".into(), requests: 100, in_time: 90, p99_ms, ..ClassFigures::default() };
+    let void = is_void.then(|| "late".into());
     Report {
         void,
-        broken: Vec::new(),
+        violations: Vec::new(),
         classes: vec![figures],
         attempts: 110,
         probes: 0,
-        times: Default::default(),
+        timeline: Default::default(),
     }
 }
 
 #[test]
-fn a_difference_is_seen_only_where_the_spread_leaves_out_zero() {
+fn a_difference_is_significant_only_if_the_confidence_interval_excludes_zero() {
     let scenario = Scenario::parse(include_str!("../../../../lab/first.toml")).unwrap();
     let scenario = Scenario { classes: scenario.classes[..1].to_vec(), ..scenario };
     let mut trace = String::new();
@@ -29,8 +30,8 @@
         let pair = |(n, (a, b)): (usize, &(f64, f64))| Pair { a: report(*a, false), b: report(*b, n == 3) };
         let pairs: Vec<Pair> = sides.iter().chain([&(1.0, 900.0)]).enumerate().map(pair).collect();
         let pairs = if sides.len() == 3 { pairs } else { pairs.into_iter().take(sides.len()).collect() };
-        let found = differences(&scenario, &pairs);
-        trace += &table(&found[2..3], &pairs);
+        let p99_of_browse = &differences(&scenario, &pairs)[2..3];
+        trace += &table(p99_of_browse, &pairs);
     }
     expect![[r#"
         figure                         a         b   b less a    spread
@@ -48,3 +49,11 @@
     "#]]
     .assert_eq(&trace);
 }
+
+#[test]
+fn a_difference_is_serialized_under_its_published_field_names() {
+    let difference =
+        Difference { figure: "f".into(), a: 1.0, b: 2.0, mean_difference: 1.0, confidence_radius: 0.5 };
+    expect![[r#"{"figure":"f","a":1.0,"b":2.0,"mean":1.0,"spread":0.5}"#]]
+        .assert_eq(&serde_json::to_string(&difference).unwrap());
+}
--- a/crates/pondlb-lab/src/main.rs
+++ b/crates/pondlb-lab/src/main.rs
@@ -1,5 +1,5 @@
-//! The laboratory's command line. Exit codes: 0 the rules held, 1 a rule was broken or a balancer crashed,
-//! 2 bad input or nothing that could be played, 3 the run is void.
+//! The laboratory's command line. Exit codes: 0 if the rules held, 1 if a rule was broken or a balancer crashed, 2 if
+//! the input is invalid or the scenario could not be played, 3 if the run is void.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -23,91 +23,91 @@
 
 #[derive(Parser)]
 #[command(version, about = "An emulated fleet, a load and a judge for pondlb, on loopback")]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario to real balancers and judges the rules
+    /// Plays a scenario to real balancers and checks the rules
     Run {
         scenario: PathBuf,
-        /// The balancer's program
+        /// The balancer's executable
         #[arg(long, default_value = "target/release/pondlb-server")]
         program: PathBuf,
-        /// An argument for it
+        /// An argument for the balancer; may be repeated
         #[arg(long)]
         argument: Vec<String>,
-        /// In place of the scenario's own
+        /// The seed, in place of the scenario's
         #[arg(long)]
         seed: Option<u64>,
-        /// The result as JSON in place of a table
+        /// Prints the result as JSON instead of a table
         #[arg(long)]
         json: bool,
-        /// A file for what clients, upstreams and discovery noted, as JSON
+        /// Writes what clients, upstreams and discovery recorded to this file, as JSON
         #[arg(long)]
         ledgers: Option<PathBuf>,
-        /// A file for the report, with plots
+        /// Writes the report with plots to this file, as HTML
         #[arg(long)]
         html: Option<PathBuf>,
     },
-    /// Plays a scenario to two builds in turns and says what can be said of the difference
+    /// Plays a scenario to two builds alternately and prints which differences are significant
     Compare {
         scenario: PathBuf,
-        /// One balancer's program
+        /// The first balancer's executable
         #[arg(long)]
         a: PathBuf,
-        /// The other's
+        /// The second balancer's executable
         #[arg(long)]
         b: PathBuf,
-        /// Seeds, from the scenario's own on; each is played to both
+        /// How many seeds are played to both, counted up from the scenario's
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=100))]
         rounds: u32,
-        /// The result as JSON in place of a table
+        /// Prints the result as JSON instead of a table
         #[arg(long)]
         json: bool,
-        /// A file for the report of the first seed, both sides
+        /// Writes the reports of both balancers for the first seed to this file, as HTML
         #[arg(long)]
         html: Option<PathBuf>,
     },
-    /// Measures what one balancer or control server needs against one dimension of its size at a time
+    /// Measures how the resource use of one balancer or control server grows with one dimension of its size at a time
     Slopes {
-        /// All but `distribution` and `control` where none is named
+        /// What to measure; all but `distribution` and `control` if none is named
         dimension: Vec<Dimension>,
-        /// The balancer's program
+        /// The balancer's executable
         #[arg(long, default_value = "target/release/pondlb-server")]
         program: PathBuf,
-        /// An argument for it
+        /// An argument for the balancer; may be repeated
         #[arg(long)]
         argument: Vec<String>,
-        /// The balancer that `distribution` sets before discovery; the same program where nothing is said
+        /// The balancer that `distribution` measures with discovery, for comparison; the same executable by default
         #[arg(long)]
         before: Option<PathBuf>,
-        /// The control server of `distribution` and `control`; the one beside the lab's own program where nothing is said
+        /// The control server of `distribution` and `control`; by default the one in the directory of this executable
         #[arg(long)]
         server: Option<PathBuf>,
-        /// A file for the result as JSON, beside the table
+        /// Writes the result to this file as JSON, besides the table
         #[arg(long)]
         json: Option<PathBuf>,
-        /// How long each point is measured
+        /// How many seconds each point is measured
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
-        /// Plays this part of all sizes
+        /// The share of all sizes that is played
         #[arg(long, default_value_t = 1.0)]
         share: f64,
     },
     /// Plays a fleet of many balancers that follow control servers, most of them without traffic
-    Scale(ScaleLine),
-    /// Many balancers that follow control servers, in one process
+    Scale(ScaleArguments),
+    /// Runs many balancers without traffic that follow control servers, in one process
     #[command(hide = true)]
     Hollow {
         assignment: PathBuf,
-        /// A fault on purpose
+        /// A fault that the process has on purpose
         #[arg(long)]
         planted: Option<PlantedFault>,
     },
-    /// Becomes a program that ends with the process that started it
+    /// Replaces itself by a program that is killed when the parent process ends
     #[command(hide = true)]
     Hold {
         parent: u32,
@@ -115,201 +115,218 @@
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<String>,
     },
-    /// Says what is wrong with a scenario, or what it would send
+    /// Prints what is wrong with a scenario, or what it would send
     Check {
         scenario: PathBuf,
-        /// Every arrival, one line of JSON each
+        /// Prints each planned request as a line of JSON
         #[arg(long)]
         plan: bool,
     },
 }
 
+/// Arguments of the `scale` sub-command.
 #[derive(Args)]
-struct ScaleLine {
+struct ScaleArguments {
     scenario: PathBuf,
-    /// The part of the balancers and records that is played, above 0 to 1
+    /// The share of the balancers and records that is played, above 0 and up to 1
     #[arg(long, default_value_t = 1.0)]
     share: f64,
-    /// A file for the result as JSON, beside the table
+    /// Writes the result to this file as JSON, besides the table
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The control server's program; beside the laboratory's own where nothing is said
+    /// The control server's executable; by default the one in the directory of this executable
     #[arg(long)]
     server: Option<PathBuf>,
-    /// An argument for it, before its options file
+    /// An argument for the control server, before its options file; may be repeated
     #[arg(long)]
     server_argument: Vec<String>,
-    /// The real balancer's program; beside the laboratory's own where nothing is said
+    /// The real balancer's executable; by default the one in the directory of this executable
     #[arg(long)]
     balancer: Option<PathBuf>,
-    /// An argument for hollow processes
+    /// An argument for hollow processes; may be repeated
     #[arg(long, hide = true, allow_hyphen_values = true)]
     hollow_argument: Vec<String>,
 }
 
-const BROKEN: u8 = 1;
-const BAD_INPUT: u8 = 2;
-const VOID: u8 = 3;
+const EXIT_RULES_HELD: u8 = 0;
+const EXIT_RULES_BROKEN: u8 = 1;
+const EXIT_INVALID_INPUT: u8 = 2;
+const EXIT_VOID: u8 = 3;
 
 fn main() -> ExitCode {
-    match told(Line::parse().command) {
+    match execute(CommandLine::parse().command) {
         Ok(code) => code.into(),
-        Err(faults) => {
-            eprintln!("{faults}");
-            BAD_INPUT.into()
+        Err(error) => {
+            eprintln!("{error}");
+            EXIT_INVALID_INPUT.into()
         }
     }
 }
 
-fn told(command: Command) -> Result<u8, String> {
+/// Executes a command and returns its exit code.
+fn execute(command: Command) -> Result<u8, String> {
     match command {
         Command::Hold { parent, program, arguments } => {
             Err(exec_killed_with_parent(parent, &program, &arguments).to_string())
         }
-        Command::Scale(line) => scale(line),
-        Command::Hollow { assignment, planted } => in_runtime(hollow::play(&assignment, planted)).map(|()| 0),
-        Command::Check { scenario, plan } => {
-            let scenario = read(&scenario)?;
-            let arrivals = scenario.plan();
-            if plan {
-                for planned in &arrivals {
-                    println!("{}", serde_json::to_string(planned).map_err(|e| e.to_string())?);
-                }
-            } else {
-                let (requests, upstreams) = (arrivals.len(), scenario.upstream_specs().len());
-                println!(
-                    "{requests} txns in {} s to {} balancers and {upstreams} upstreams",
-                    scenario.seconds, scenario.balancers
-                );
-            }
-            Ok(0)
+        Command::Scale(arguments) => scale(arguments),
+        Command::Hollow { assignment, planted } => {
+            run_to_end(hollow::play(&assignment, planted)).map(|()| EXIT_RULES_HELD)
         }
+        Command::Check { scenario, plan } => check(&read_scenario(&scenario)?, plan),
         Command::Slopes { dimension, program, argument, before, server, json, seconds, share } => {
             let program = Program { path: program, arguments: argument };
             let before =
                 before.map_or_else(|| program.clone(), |path| Program { path, arguments: Vec::new() });
-            let path = server.map_or_else(|| beside("pondlb-control-server"), Ok)?;
+            let path = server.map_or_else(|| path_beside("pondlb-control-server"), Ok)?;
             let control_server = Program { path, arguments: Vec::new() };
             let options =
                 slopes::Options { program, before, control_server, dimensions: dimension, seconds, share };
             slopes(&options, json.as_deref())
         }
         Command::Run { scenario, program, argument, seed, json, ledgers, html } => {
-            let mut scenario = read(&scenario)?;
+            let mut scenario = read_scenario(&scenario)?;
             scenario.seed = seed.unwrap_or(scenario.seed);
             let program = Program { path: program, arguments: argument };
-            let (report, kept) = played(&program, scenario.clone())?;
+            let (report, recorded) = play_run(&program, scenario.clone())?;
             if let Some(path) = ledgers {
-                written(&path, &serde_json::to_string(&kept).map_err(|e| e.to_string())?)?;
+                write_file(&path, &serde_json::to_string(&recorded).map_err(|e| e.to_string())?)?;
             }
             if let Some(path) = html {
-                written(&path, &report::html(&scenario, &[(program.path.display().to_string(), &report)])?)?;
+                let name = program.path.display().to_string();
+                write_file(&path, &report::html(&scenario, &[(name, &report)])?)?;
             }
             if json {
                 println!("{}", serde_json::to_string(&report).map_err(|e| e.to_string())?);
             } else {
                 print!("{}", report.table());
             }
-            Ok(code(&[&report]))
+            Ok(exit_code(&[&report]))
         }
         Command::Compare { scenario, a, b, rounds, json, html } => {
-            let scenario = read(&scenario)?;
+            let scenario = read_scenario(&scenario)?;
             let program = |path: &PathBuf| Program { path: path.clone(), arguments: Vec::new() };
-            let (first, second) = (program(&a), program(&b));
-            let mut pairs = Vec::new();
-            for round in 0..rounds {
-                let mut scenario = scenario.clone();
-                scenario.seed = scenario.seed.wrapping_add(u64::from(round));
-                let play = |program| played(program, scenario.clone()).map(|(report, _)| report);
-                let (a, b) = if a_is_first(round as usize) {
-                    let a = play(&first)?;
-                    (a, play(&second)?)
-                } else {
-                    let b = play(&second)?;
-                    (play(&first)?, b)
-                };
-                eprintln!(
-                    "seed {}: value in time {:.3} and {:.3}",
-                    scenario.seed,
-                    value_in_time(&scenario, &a),
-                    value_in_time(&scenario, &b)
-                );
-                pairs.push(Pair { a, b });
-            }
-            let found = differences(&scenario, &pairs);
+            let pairs = play_pairs(&scenario, &program(&a), &program(&b), rounds)?;
+            let differences = differences(&scenario, &pairs);
             if json {
-                println!("{}", serde_json::to_string(&found).map_err(|e| e.to_string())?);
+                println!("{}", serde_json::to_string(&differences).map_err(|e| e.to_string())?);
             } else {
-                print!("{}", table(&found, &pairs));
+                print!("{}", table(&differences, &pairs));
             }
             if let (Some(path), Some(pair)) = (html, pairs.first()) {
-                let sides =
+                let reports =
                     [(format!("a: {}", a.display()), &pair.a), (format!("b: {}", b.display()), &pair.b)];
-                written(&path, &report::html(&scenario, &sides)?)?;
+                write_file(&path, &report::html(&scenario, &reports)?)?;
             }
-            let sound: Vec<&Report> =
-                pairs.iter().flat_map(|p| [&p.a, &p.b]).filter(|r| r.void.is_none()).collect();
-            Ok(if sound.is_empty() { VOID } else { code(&sound) })
+            let valid: Vec<&Report> = pairs
+                .iter()
+                .flat_map(|pair| [&pair.a, &pair.b])
+                .filter(|report| report.void.is_none())
+                .collect();
+            Ok(if valid.is_empty() { EXIT_VOID } else { exit_code(&valid) })
         }
     }
 }
 
-/// Prints each dimension as it is done.
+/// Prints the plan of a scenario, or a summary of it.
+fn check(scenario: &Scenario, prints_plan: bool) -> Result<u8, String> {
+    let plan = scenario.plan();
+    if prints_plan {
+        for planned in &plan {
+            println!("{}", serde_json::to_string(planned).map_err(|e| e.to_string())?);
+        }
+    } else {
+        let (requests, upstreams) = (plan.len(), scenario.upstream_specs().len());
+        println!(
+            "{requests} txns in {} s to {} balancers and {upstreams} upstreams",
+            scenario.seconds, scenario.balancers
+        );
+    }
+    Ok(EXIT_RULES_HELD)
+}
+
+/// Plays each seed to both balancers.
+fn play_pairs(scenario: &Scenario, a: &Program, b: &Program, rounds: u32) -> Result<Vec<Pair>, String> {
+    let mut pairs = Vec::new();
+    for round in 0..rounds {
+        let mut scenario = scenario.clone();
+        scenario.seed = scenario.seed.wrapping_add(u64::from(round));
+        let play = |program| play_run(program, scenario.clone()).map(|(report, _)| report);
+        let pair = if a_is_first(round as usize) {
+            let a = play(a)?;
+            Pair { a, b: play(b)? }
+        } else {
+            let b = play(b)?;
+            Pair { a: play(a)?, b }
+        };
+        eprintln!(
+            "seed {}: value in time {:.3} and {:.3}",
+            scenario.seed,
+            value_in_time(&scenario, &pair.a),
+            value_in_time(&scenario, &pair.b)
+        );
+        pairs.push(pair);
+    }
+    Ok(pairs)
+}
+
+/// Measures the dimensions and prints the table of each once it is measured.
 fn slopes(options: &slopes::Options, json: Option<&Path>) -> Result<u8, String> {
     options.check()?;
+    // A path that can't be written is reported before the measurements.
     if let Some(path) = json {
-        written(path, "")?;
+        write_file(path, "")?;
     }
-    let measured = in_runtime(slopes::measure(options, |measured| println!("{}", measured.table())))?;
+    let measured = run_to_end(slopes::measure(options, |measured| println!("{}", measured.table())))?;
     if let Some(path) = json {
         let text = serde_json::to_string_pretty(&measured).map_err(|e| e.to_string())?;
-        written(path, &(text + "\n"))?;
+        write_file(path, &(text + "\n"))?;
     }
-    Ok(if measured.iter().any(|one| one.void.is_some()) { VOID } else { 0 })
+    Ok(if measured.iter().any(|series| series.void.is_some()) { EXIT_VOID } else { EXIT_RULES_HELD })
 }
 
-/// Plays a scale run, and tells it as a table and as JSON.
-fn scale(line: ScaleLine) -> Result<u8, String> {
-    let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", line.scenario.display());
-    let text = std::fs::read_to_string(&line.scenario).map_err(|e| named(&e))?;
-    let scenario = ScaleScenario::read(&text, line.share, machine_memory())
-        .map_err(|faults| faults.iter().map(|fault| named(fault)).collect::<Vec<_>>().join("\n"))?;
+/// Plays a scale scenario, and reports it as a table and as JSON.
+fn scale(arguments: ScaleArguments) -> Result<u8, String> {
+    let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", arguments.scenario.display());
+    let text = std::fs::read_to_string(&arguments.scenario).map_err(|e| with_path(&e))?;
+    let scenario = ScaleScenario::read(&text, arguments.share, machine_memory())
+        .map_err(|errors| errors.iter().map(|error| with_path(error)).collect::<Vec<_>>().join("\n"))?;
     let programs = Programs {
         server: Program {
-            path: line.server.map_or_else(|| beside("pondlb-control-server"), Ok)?,
-            arguments: line.server_argument,
+            path: arguments.server.map_or_else(|| path_beside("pondlb-control-server"), Ok)?,
+            arguments: arguments.server_argument,
         },
         balancer: Program {
-            path: line.balancer.map_or_else(|| beside("pondlb-server"), Ok)?,
+            path: arguments.balancer.map_or_else(|| path_beside("pondlb-server"), Ok)?,
             arguments: Vec::new(),
         },
-        hollow_arguments: line.hollow_argument,
+        hollow_arguments: arguments.hollow_argument,
     };
-    let report = in_runtime(play_scale(&programs, scenario))?;
-    if let Some(path) = line.json {
+    let report = run_to_end(play_scale(&programs, scenario))?;
+    if let Some(path) = arguments.json {
         let json = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
-        written(&path, &(json + "\n"))?;
+        write_file(&path, &(json + "\n"))?;
     }
     print!("{report}");
     Ok(match report.verdict() {
-        Verdict::Held => 0,
-        Verdict::Failed => BROKEN,
-        Verdict::Void => VOID,
+        Verdict::Held => EXIT_RULES_HELD,
+        Verdict::Failed => EXIT_RULES_BROKEN,
+        Verdict::Void => EXIT_VOID,
     })
 }
 
-/// A program in the folder of this one.
-fn beside(name: &str) -> Result<PathBuf, String> {
+/// The path of an executable in the directory of this one.
+fn path_beside(name: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     Ok(own.with_file_name(name))
 }
 
-fn played(program: &Program, scenario: Scenario) -> Result<(Report, Ledgers), String> {
-    in_runtime(play(program, scenario))
+fn play_run(program: &Program, scenario: Scenario) -> Result<(Report, Ledgers), String> {
+    run_to_end(play(program, scenario))
 }
 
-/// Runs to its end, or until it is interrupted.
-fn in_runtime<T>(work: impl Future<Output = std::io::Result<T>>) -> Result<T, String> {
+/// Runs a future on a single-threaded runtime until it completes or the process is interrupted.
+fn run_to_end<T>(work: impl Future<Output = std::io::Result<T>>) -> Result<T, String> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     let work = async {
         tokio::select! {
@@ -320,24 +337,25 @@
     LocalSet::new().block_on(&runtime, work).map_err(|e| e.to_string())
 }
 
-fn written(path: &Path, text: &str) -> Result<(), String> {
+fn write_file(path: &Path, text: &str) -> Result<(), String> {
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// A rule that is seen to be broken is broken on a slow machine too, but for times; so void comes first.
-fn code(reports: &[&Report]) -> u8 {
+/// The exit code for these reports. A void run comes first: on a machine that is too slow, violations of time limits may
+/// not be the balancers' fault.
+fn exit_code(reports: &[&Report]) -> u8 {
     if reports.iter().any(|report| report.void.is_some()) {
-        VOID
-    } else if reports.iter().any(|report| !report.broken.is_empty()) {
-        BROKEN
+        EXIT_VOID
+    } else if reports.iter().any(|report| !report.violations.is_empty()) {
+        EXIT_RULES_BROKEN
     } else {
-        0
+        EXIT_RULES_HELD
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, String> {
+fn read_scenario(path: &Path) -> Result<Scenario, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Scenario::parse(&text).map_err(|faults| {
-        faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect::<Vec<_>>().join("\n")
+    Scenario::parse(&text).map_err(|errors| {
+        errors.iter().map(|error| format!("{}: {error}", path.display())).collect::<Vec<_>>().join("\n")
     })
 }
--- a/crates/pondlb-lab/src/run.rs
+++ b/crates/pondlb-lab/src/run.rs
@@ -1,4 +1,7 @@
-//! A run: fleet, balancers and load together, then the verdict and what was measured.
+//! A run: plays a scenario to balancers with the emulated fleet and the load, and reports the violations and figures.
+
+#[cfg(test)]
+mod tests;
 
 use std::io;
 use std::rc::Rc;
@@ -9,154 +12,198 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-use crate::balancers::{Balancers, Program, READY_WITHIN};
+use crate::balancers::{Balancers, Program, READY_TIMEOUT};
 use crate::fleet::{Fleet, Recorder};
 use crate::judge::{self, Violation};
 use crate::ledger::{BalancerCrash, Ledgers};
 use crate::load::{Endpoint, Failover, send_planned};
-use crate::report::Times;
+use crate::report::Timeline;
 use crate::scenario::{FaultKind, Scenario};
 
-/// Between the moment when all is ready and the first arrival.
-const LEAD: Duration = Duration::from_millis(100);
+/// Time between the moment at which all balancers are ready and the start of the load.
+const LOAD_START_DELAY: Duration = Duration::from_millis(100);
+/// How often balancers are checked for unexpected exits.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest latency that is told apart, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Significant digits of latencies.
+const LATENCY_DIGITS: u8 = 3;
+/// How many violations the table lists.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Why the run says nothing, if it does not.
+    /// Why the run says nothing about the balancers; `None` if it counts.
     pub void: Option<String>,
-    pub broken: Vec<Violation>,
+    /// The rules that were broken.
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
+    /// The figures of each class, in the scenario's order.
     #[serde(rename = "schemes")]
-    pub classes: Vec<Figures>,
+    pub classes: Vec<ClassFigures>,
+    /// How many attempts upstreams received.
     #[serde(rename = "postings")]
     pub attempts: usize,
+    /// How many load probes upstreams received.
     pub probes: usize,
-    pub times: Times,
+    /// The figures over time.
+    #[serde(rename = "times")]
+    pub timeline: Timeline,
 }
 
-/// What became of one class's requests; times in milliseconds, from the intended send.
+/// The outcomes of the requests of one class. Latencies are in milliseconds, from the planned time of the request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Figures {
+pub struct ClassFigures {
+    /// The name of the class.
     pub name: String,
-    pub asked: usize,
+    /// All requests.
+    #[serde(rename = "asked")]
+    pub requests: usize,
+    /// Requests answered with 200.
     #[serde(rename = "settled")]
     pub served: usize,
+    /// Requests answered with 429 or 503.
     #[serde(rename = "declined")]
     pub rejected: usize,
+    /// Requests answered with any other status.
     #[serde(rename = "reversed")]
     pub failed: usize,
+    /// Requests without a response.
     pub unanswered: usize,
-    /// Served within the SLA time.
+    /// Requests served within the SLA time.
     pub in_time: usize,
-    pub p50: f64,
-    pub p99: f64,
+    /// The median latency of the requests served.
+    #[serde(rename = "p50")]
+    pub p50_ms: f64,
+    /// The 99th percentile of the latency of the requests served.
+    #[serde(rename = "p99")]
+    pub p99_ms: f64,
 }
 
-/// Plays the scenario to balancers of that program. An error says why it could not be played at all.
+/// Plays a scenario to balancers of this program.
+///
+/// # Errors
+/// The scenario could not be played, for example because a balancer did not start.
 pub async fn play(program: &Program, scenario: Scenario) -> io::Result<(Report, Ledgers)> {
-    let (scenario, book) = (Rc::new(scenario), Recorder::new());
-    let fleet =
-        Rc::new(Fleet::start(book.clone(), scenario.upstream_specs(), &scenario.rules, scenario.balancers)?);
-    let balancers = Balancers::start(program, &scenario, &fleet, READY_WITHIN, |_, _| ()).await?;
-    let doors: Vec<Rc<Endpoint>> = balancers.addresses.iter().map(|at| Endpoint::new(*at)).collect();
-    let from = book.now_us() + LEAD.as_micros() as u64;
+    let (scenario, recorder) = (Rc::new(scenario), Recorder::new());
+    let specs = scenario.upstream_specs();
+    let fleet = Rc::new(Fleet::start(recorder.clone(), specs, &scenario.rules, scenario.balancers)?);
+    let balancers = Balancers::start(program, &scenario, &fleet, READY_TIMEOUT, |_, _| ()).await?;
+    let endpoints: Vec<Rc<Endpoint>> =
+        balancers.addresses.iter().map(|address| Endpoint::new(*address)).collect();
+    let load_start_us = recorder.now_us() + LOAD_START_DELAY.as_micros() as u64;
+    // Kills of balancers: when, in microseconds, and which.
     let mut kills = Vec::new();
-    for trouble in scenario.faults.clone() {
-        if trouble.kind == FaultKind::KillBalancer {
-            kills.push((from + (trouble.at_seconds * 1e6) as u64, trouble.target_index));
+    for fault in scenario.faults.clone() {
+        if fault.kind == FaultKind::KillBalancer {
+            kills.push((load_start_us + (fault.at_seconds * 1e6) as u64, fault.target_index));
         } else {
             let fleet = fleet.clone();
-            spawn_local(async move { fleet.inject_fault(&trouble, from).await });
+            spawn_local(async move { fleet.inject_fault(&fault, load_start_us).await });
         }
     }
     kills.sort_unstable();
-    let load = send_planned(&scenario, scenario.plan(), &doors, Failover::Never, &book, from);
+    let load =
+        send_planned(&scenario, scenario.plan(), &endpoints, Failover::Never, &recorder, load_start_us);
     tokio::pin!(load);
     let mut kills = kills.into_iter().peekable();
-    let mut gone = vec![false; doors.len()];
+    let mut has_crashed = vec![false; endpoints.len()];
     loop {
-        let next = kills.peek().map(|(at, _)| book.instant_at(*at));
+        let next_kill = kills.peek().map(|(at_us, _)| recorder.instant_at(*at_us));
         tokio::select! {
             () = &mut load => break,
-            () = sleep_until(next.unwrap_or_else(tokio::time::Instant::now)), if next.is_some() => {
-                let Some((_, which)) = kills.next() else { continue };
-                // Counted before and after: the process dies some time in between, with what was sent to it meanwhile.
-                doors[which].count_kill();
-                balancers.kill_and_restart(which).await?;
-                doors[which].count_kill();
+            () = sleep_until(next_kill.unwrap_or_else(tokio::time::Instant::now)), if next_kill.is_some() => {
+                let Some((_, balancer)) = kills.next() else { continue };
+                // Counted before and after, as the process dies at some time in between, along with the requests that
+                // were sent to it until then.
+                endpoints[balancer].count_kill();
+                balancers.kill_and_restart(balancer).await?;
+                endpoints[balancer].count_kill();
             }
-            () = sleep(Duration::from_millis(100)) => {
+            () = sleep(EXIT_CHECK_INTERVAL) => {
                 for (balancer, status) in balancers.unexpected_exits() {
-                    // Said once: a crash is a crash, not so many requests refused.
-                    if !std::mem::replace(&mut gone[balancer], true) {
-                        let crash = BalancerCrash { balancer: balancer as u32, at_us: book.now_us(), status };
-                        book.ledgers.borrow_mut().crashes.push(crash);
+                    // Recorded once: the requests that are refused from then on are no crashes of their own.
+                    if !std::mem::replace(&mut has_crashed[balancer], true) {
+                        let crash = BalancerCrash { balancer: balancer as u32, at_us: recorder.now_us(), status };
+                        recorder.ledgers.borrow_mut().crashes.push(crash);
                     }
                 }
             }
         }
     }
-    let ledgers = book.ledgers.take();
-    Ok((report(&scenario, &ledgers, from), ledgers))
+    let ledgers = recorder.ledgers.take();
+    Ok((report(&scenario, &ledgers, load_start_us), ledgers))
 }
 
-fn report(scenario: &Scenario, ledgers: &Ledgers, from: u64) -> Report {
-    let classes = (0..scenario.classes.len()).map(|n| figures(scenario, ledgers, n)).collect();
-    let (void, broken) = (judge::void_reason(ledgers), judge::find_violations(scenario, ledgers));
-    let times = Times::of(scenario, ledgers, from);
-    let (attempts, probes) = (ledgers.attempts.len(), ledgers.probe_senders.len());
-    Report { void, broken, classes, attempts, probes, times }
+fn report(scenario: &Scenario, ledgers: &Ledgers, load_start_us: u64) -> Report {
+    Report {
+        void: judge::void_reason(ledgers),
+        violations: judge::find_violations(scenario, ledgers),
+        classes: (0..scenario.classes.len()).map(|class| class_figures(scenario, ledgers, class)).collect(),
+        attempts: ledgers.attempts.len(),
+        probes: ledgers.probe_senders.len(),
+        timeline: Timeline::new(scenario, ledgers, load_start_us),
+    }
 }
 
-fn figures(scenario: &Scenario, ledgers: &Ledgers, number: usize) -> Figures {
-    let class = &scenario.classes[number];
-    let mut figures = Figures { name: class.name.clone(), ..Figures::default() };
-    // A minute at most, in microseconds, to three digits.
-    let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, 120_000_000, 3) else { return figures };
-    for asked in ledgers.requests.iter().filter(|asked| asked.class == number) {
-        figures.asked += 1;
-        match (asked.answered_us, asked.status) {
+fn class_figures(scenario: &Scenario, ledgers: &Ledgers, class_index: usize) -> ClassFigures {
+    let class = &scenario.classes[class_index];
+    let mut figures = ClassFigures { name: class.name.clone(), ..ClassFigures::default() };
+    let Ok(mut latencies_us) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS) else {
+        return figures;
+    };
+    for request in ledgers.requests.iter().filter(|request| request.class == class_index) {
+        figures.requests += 1;
+        match (request.answered_us, request.status) {
             (None, _) => figures.unanswered += 1,
-            (Some(at), 200) => {
-                let took = at.saturating_sub(asked.intended_us);
-                times.saturating_record(took);
+            (Some(answered_us), 200) => {
+                let latency_us = answered_us.saturating_sub(request.intended_us);
+                latencies_us.saturating_record(latency_us);
                 figures.served += 1;
-                figures.in_time += usize::from(took <= class.sla_ms * 1000);
+                figures.in_time += usize::from(latency_us <= class.sla_ms * 1000);
             }
             (Some(_), 429 | 503) => figures.rejected += 1,
             (Some(_), _) => figures.failed += 1,
         }
     }
-    figures.p50 = times.value_at_quantile(0.5) as f64 / 1000.0;
-    figures.p99 = times.value_at_quantile(0.99) as f64 / 1000.0;
+    figures.p50_ms = latencies_us.value_at_quantile(0.5) as f64 / 1000.0;
+    figures.p99_ms = latencies_us.value_at_quantile(0.99) as f64 / 1000.0;
     figures
 }
 
 impl Report {
-    /// As people read it.
+    /// The report as a text table, with the first violations and the verdict.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<16}{:>8}{:>9}{:>9}{:>9}{:>9}{:>11}{:>10}{:>10}\n",
             "scheme", "asked", "settled", "in time", "declined", "reversed", "no answer", "p50 ms", "p99 ms"
         );
-        for f in &self.classes {
+        for class in &self.classes {
             text += &format!(
                 "{:<16}{:>8}{:>9}{:>9}{:>9}{:>9}{:>11}{:>10.1}{:>10.1}\n",
-                f.name, f.asked, f.served, f.in_time, f.rejected, f.failed, f.unanswered, f.p50, f.p99
+                class.name,
+                class.requests,
+                class.served,
+                class.in_time,
+                class.rejected,
+                class.failed,
+                class.unanswered,
+                class.p50_ms,
+                class.p99_ms
             );
         }
         text += &format!("{} postings, {} probes\n", self.attempts, self.probes);
-        for broken in self.broken.iter().take(MOST_TOLD) {
-            text += &format!("broken, {}: {}\n", broken.rule, broken.detail);
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
+            text += &format!("broken, {}: {}\n", violation.rule, violation.detail);
         }
-        if self.broken.len() > MOST_TOLD {
-            text += &format!("and {} more\n", self.broken.len() - MOST_TOLD);
+        if self.violations.len() > MAX_LISTED_VIOLATIONS {
+            text += &format!("and {} more\n", self.violations.len() - MAX_LISTED_VIOLATIONS);
         }
-        text + &match (&self.void, self.broken.is_empty()) {
-            (Some(why), _) => format!("void: {why}\n"),
+        text + &match (&self.void, self.violations.is_empty()) {
+            (Some(reason), _) => format!("void: {reason}\n"),
             (None, true) => "the rules held\n".into(),
             (None, false) => "rules were broken\n".into(),
         }
     }
 }
-
-const MOST_TOLD: usize = 20;
--- a/crates/pondlb-lab/src/scenario/tests.rs
+++ b/crates/pondlb-lab/src/scenario/tests.rs
@@ -59,3 +59,20 @@
     "#]]
     .assert_eq(&trace);
 }
+
+/// The keys of each table are the published format of scenario files; an unknown key is answered with all of them.
+#[test]
+fn each_table_accepts_its_published_keys() {
+    let mut trace = String::new();
+    for table in ["[rules]", "[[upstreams]]", "[[schemes]]", "[[faults]]", "[[bursts]]"] {
+        let errors = Scenario::parse(&format!("{GOOD}{table}\nunknown = 1\n")).unwrap_err();
+        trace += &format!("{table} {}\n", errors.join("; ").lines().last().unwrap_or_default());
+    }
+    expect![[r#"
+        [rules] unknown field `unknown`, expected one of `drain_grace_ms`, `cold_share`, `fall_multiple`, `fall_ms`, `warm_ms`
+        [[upstreams]] unknown field `unknown`, expected one of `count`, `zone`, `group`, `cores`, `speed`, `waiting`, `connections`, `handshake_ms`
+        [[schemes]] unknown field `unknown`, expected one of `name`, `effect`, `sla_ms`, `expiry_ms`, `value`, `rate`, `work_ms`, `heavy`
+        [[faults]] unknown field `unknown`, expected one of `at`, `for`, `kind`, `which`, `zone`, `factor`
+        [[bursts]] unknown field `unknown`, expected one of `at`, `for`, `times`
+    "#]].assert_eq(&trace);
+}
--- a/crates/pondlb-lab/tests/judged.rs
+++ b/crates/pondlb-lab/tests/judged.rs
@@ -202,8 +202,8 @@
         11 | hearts = 2
            | ^^^^^^
         unknown field `hearts`, expected one of `count`, `zone`, `group`, `cores`, `speed`, `waiting`, `connections`, `handshake_ms`
-        2: balancer 0 ended before it served, exit status: 2: /nowhere: No such file or directory (os error 2)
-        2: balancer 0 ended before it served, exit status: 1:
+        2: balancer 0 exited before it was ready, exit status: 2: /nowhere: No such file or directory (os error 2)
+        2: balancer 0 exited before it was ready, exit status: 1:
     "#]]
     .assert_eq(&trace);
 }
