--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -1,5 +1,5 @@
-//! A test double: a control server with a fault on purpose, which its followers have to notice and repair. The real
-//! server stands behind it, and it changes some of that one's answers on their way.
+//! A test double: a control server with a deliberate fault, which its followers have to notice and repair. It is a proxy
+//! that alters some of the responses of the real server behind it.
 
 use std::cell::Cell;
 use std::io;
@@ -15,12 +15,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// One in so many of the answers that could be spoilt is.
-const SPOILT_ONE_IN: u64 = 3;
+/// One in so many of the responses that could be altered is.
+const ALTERED_ONE_IN: u64 = 3;
 const CHANGES_PATH: &str = "/control/changes?";
 
 #[derive(Parser)]
 struct Arguments {
+    /// What is wrong with some responses
     fault: Fault,
     /// The options file of the real server
     options: PathBuf,
@@ -28,24 +29,25 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Fault {
-    /// A change is missing from an answer.
+    /// A change is missing from a response.
     Drops,
-    /// Changes come in the wrong order.
+    /// The changes of a response are in reverse order.
     Reorders,
 }
 
-struct Spoiler {
+struct FaultyProxy {
     fault: Fault,
+    /// Where the real server listens.
     server: SocketAddr,
-    /// How many answers could have been spoilt so far.
-    chances: Cell<u64>,
+    /// How many responses could have been altered so far.
+    alterable_count: Cell<u64>,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let played = runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, play(&arguments)));
-    match played {
+    let result = runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, run(&arguments)));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -54,71 +56,73 @@
     }
 }
 
-async fn play(arguments: &Arguments) -> io::Result<()> {
-    let mut options = ServerOptions::read(&arguments.options).map_err(|faults| {
-        io::Error::other(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+/// Runs the real server on a free port and the proxy on the port of its options.
+async fn run(arguments: &Arguments) -> io::Result<()> {
+    let mut options = ServerOptions::read(&arguments.options).map_err(|errors| {
+        io::Error::other(errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     })?;
     let listener = TcpListener::bind(options.listen).await?;
-    let free = TcpListener::bind((options.listen.ip(), 0)).await?;
-    options.listen = free.local_addr()?;
-    drop(free);
+    let free_port = TcpListener::bind((options.listen.ip(), 0)).await?;
+    options.listen = free_port.local_addr()?;
+    drop(free_port);
     let (fault, server) = (arguments.fault, options.listen);
-    let spoiler = Rc::new(Spoiler { fault, server, chances: Cell::new(0) });
+    let proxy = Rc::new(FaultyProxy { fault, server, alterable_count: Cell::new(0) });
     tokio::select! {
         served = serve(options) => served,
-        accepted = accept(listener, spoiler) => accepted,
+        accepted = accept(listener, proxy) => accepted,
     }
 }
 
-async fn accept(listener: TcpListener, spoiler: Rc<Spoiler>) -> io::Result<()> {
+async fn accept(listener: TcpListener, proxy: Rc<FaultyProxy>) -> io::Result<()> {
     loop {
         let (follower, _) = listener.accept().await?;
-        let spoiler = spoiler.clone();
+        let proxy = proxy.clone();
         spawn_local(async move {
-            // A connection that fails is closed, and its follower comes again.
-            let _closed = spoiler.forward(follower).await;
+            // A connection that fails is closed, and its follower reconnects.
+            let _closed = proxy.forward(follower).await;
         });
     }
 }
 
-impl Spoiler {
+impl FaultyProxy {
+    /// Passes a follower's requests on to the real server, and its responses back.
     async fn forward(&self, follower: TcpStream) -> io::Result<()> {
         let mut server = HttpConnection::new(TcpStream::connect(self.server).await?);
         let mut follower = HttpConnection::new(follower);
         while let Some(request) = follower.read_request().await? {
             server.write(&format!("GET {} HTTP/1.1\r\nHost: planted\r\n\r\n", request.path)).await?;
-            let Some(message) = server.read_response().await? else { return Ok(()) };
-            let body = self.body(&request, &message);
-            follower.write(&format_response(message.status, "", &body)).await?;
+            let Some(response) = server.read_response().await? else { return Ok(()) };
+            let body = self.response_body(&request, &response);
+            follower.write(&format_response(response.status, "", &body)).await?;
         }
         Ok(())
     }
 
-    fn body(&self, request: &Message, message: &Message) -> String {
-        let is_changes = request.path.starts_with(CHANGES_PATH) && message.status == 200;
-        let spoilt = is_changes.then(|| self.spoilt(&message.body)).flatten();
-        spoilt.unwrap_or_else(|| message.body.clone())
+    fn response_body(&self, request: &Message, response: &Message) -> String {
+        let has_changes = request.path.starts_with(CHANGES_PATH) && response.status == 200;
+        let altered = has_changes.then(|| self.alter(&response.body)).flatten();
+        altered.unwrap_or_else(|| response.body.clone())
     }
 
-    /// The answer with the fault; none where it has no room for it or is not due.
-    fn spoilt(&self, body: &str) -> Option<String> {
-        let mut answer: ChangesResponse = serde_json::from_str(body).ok()?;
-        let least = match self.fault {
+    /// The body with the fault; `None` if it holds too few changes for the fault, or if it is not its turn.
+    fn alter(&self, body: &str) -> Option<String> {
+        let mut response: ChangesResponse = serde_json::from_str(body).ok()?;
+        let min_changes = match self.fault {
             Fault::Drops => 1,
             Fault::Reorders => 2,
         };
-        if answer.changes.len() < least {
+        if response.changes.len() < min_changes {
             return None;
         }
-        let chance = self.chances.get();
-        self.chances.set(chance + 1);
-        if !chance.is_multiple_of(SPOILT_ONE_IN) {
+        let count = self.alterable_count.get();
+        self.alterable_count.set(count + 1);
+        if !count.is_multiple_of(ALTERED_ONE_IN) {
             return None;
         }
         match self.fault {
-            Fault::Drops => drop(answer.changes.remove(0)),
-            Fault::Reorders => answer.changes.reverse(),
+            Fault::Drops => drop(response.changes.remove(0)),
+            Fault::Reorders => response.changes.reverse(),
         }
-        serde_json::to_string(&answer).ok()
+        serde_json::to_string(&response).ok()
     }
 }
--- a/crates/pondlb-lab/tests/judged.rs
+++ b/crates/pondlb-lab/tests/judged.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes: planted balancers prove that the judge can fail.
+//! Runs with real processes: balancers with deliberate faults show that the judge finds each of them.
 
 use std::iter;
 use std::path::{Path, PathBuf};
@@ -8,11 +8,11 @@
 
 use expect_test::expect;
 
-fn lab(line: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pondlb-lab")).args(line).output().unwrap()
+fn run_lab(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_pondlb-lab")).args(arguments).output().unwrap()
 }
 
-fn file(folder: &Path, name: &str, text: &str) -> String {
+fn write_file(folder: &Path, name: &str, text: &str) -> String {
     let path = folder.join(name);
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().into()
@@ -49,10 +49,10 @@
 
 const DRAIN: &str = "[[faults]]\nat = 0.8\nkind = \"drain\"\nwhich = 1\n";
 const SLOW: &str = "[[faults]]\nat = 0.5\nfor = 0.1\nkind = \"slow\"\nwhich = 0\nfactor = 25\n";
-const RETURN: &str = "[[faults]]\nat = 0.4\nfor = 0.3\nkind = \"kill\"\nwhich = 0\n";
+const RESTART: &str = "[[faults]]\nat = 0.4\nfor = 0.3\nkind = \"kill\"\nwhich = 0\n";
 
-/// The rules that are found broken, each once.
-fn found(folder: &Path, fault: &str, troubles: &str) -> String {
+/// Plays the scenario with these `[[faults]]` to a balancer with this fault; the exit code and the broken rules, each once.
+fn verdict(folder: &Path, fault: &str, injected: &str) -> String {
     let (from, to) = match fault {
         "storms" => ("work_ms = 4.0", "work_ms = 60.0"),
         "strays" => ("\"once-only\"", "\"referenced\""),
@@ -60,26 +60,26 @@
         "parks" => ("balancers = 1", "balancers = 1\nleast_in_time = 0.5"),
         _ => ("", ""),
     };
-    let scenario = SCENARIO.replace(from, to) + troubles;
-    let scenario = file(folder, &format!("{fault}.toml"), &scenario);
+    let scenario = SCENARIO.replace(from, to) + injected;
+    let scenario = write_file(folder, &format!("{fault}.toml"), &scenario);
     let planted = env!("CARGO_BIN_EXE_pondlb-planted");
-    let play = || lab(&["run", &scenario, "--program", planted, "--argument", fault, "--json"]);
-    // A void run (3) says nothing of the program, only that the machine was busy: it is played again.
+    let play = || run_lab(&["run", &scenario, "--program", planted, "--argument", fault, "--json"]);
+    // A void run (exit code 3) says only that the machine was busy, and nothing about the balancer: it is repeated.
     let run = iter::repeat_with(play).take(4).find(|run| run.status.code() != Some(3)).unwrap_or_else(play);
     let code = run.status.code();
     let text = String::from_utf8(run.stdout).unwrap();
-    let Ok(result) = serde_json::from_str::<serde_json::Value>(&text) else {
+    let Ok(report) = serde_json::from_str::<serde_json::Value>(&text) else {
         return format!("{fault}: {code:?} {}", String::from_utf8_lossy(&run.stderr));
     };
     let mut rules: Vec<_> =
-        result["broken"].as_array().unwrap().iter().map(|b| b["rule"].to_string()).collect();
+        report["broken"].as_array().unwrap().iter().map(|violation| violation["rule"].to_string()).collect();
     rules.sort();
     rules.dedup();
     format!("{fault}: exit {}, {}\n", code.unwrap(), rules.join(" "))
 }
 
 #[test]
-fn each_planted_fault_is_found_and_named() {
+fn each_deliberate_fault_is_found_under_its_rule() {
     let folder = &tempfile::tempdir().unwrap();
     let faults = [
         ("honest", DRAIN),
@@ -90,18 +90,18 @@
         ("repeats", ""),
         ("declines-what-ran", ""),
         ("ignores-drains", DRAIN),
-        ("storms", RETURN),
+        ("storms", RESTART),
         ("parks", ""),
         ("crashes", ""),
         ("strays", "[[upstreams]]\ngroup = 1\n"),
         ("copies", SLOW),
         ("asks", ""),
     ];
-    // Side by side, or they would take half a minute.
+    // In parallel, as one after another would take half a minute.
     let trace: String = thread::scope(|scope| {
-        let played =
-            faults.map(|(fault, troubles)| scope.spawn(move || found(folder.path(), fault, troubles)));
-        played.into_iter().map(|run| run.join().unwrap()).collect()
+        let runs =
+            faults.map(|(fault, injected)| scope.spawn(move || verdict(folder.path(), fault, injected)));
+        runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
     expect![[r#"
         honest: exit 0, 
@@ -120,45 +120,48 @@
         asks: exit 1, "asked"
     "#]]
     .assert_eq(&trace);
-    assert!(comes(|| faults.iter().all(|(fault, _)| planted(fault) == 0)), "a balancer lives on");
+    assert!(
+        within_5_seconds(|| faults.iter().all(|(fault, _)| count_planted(fault) == 0)),
+        "a balancer is still running"
+    );
 }
 
-/// The danger is a verdict on a request that was sent to a balancer while it was being killed.
+/// A request that is sent to a balancer while the scenario kills it may be lost, which is no violation.
 #[test]
-fn what_a_kill_takes_with_it_is_held_against_nobody() {
+fn requests_lost_in_a_planned_kill_are_no_violations() {
     let folder = &tempfile::tempdir().unwrap();
     let kill =
         |n: u32| format!("[[faults]]\nat = {:.1}\nkind = \"kill-balancer\"\nwhich = 0\n", 0.2 * f64::from(n));
     let kills: String = (1..=10).map(kill).collect();
     let crowd = "[[schemes]]\nname = \"crowd\"\neffect = \"repeatable\"\nsla_ms = 300\nexpiry_ms = 900\nvalue = 1.0\n\
         rate = 1500.0\nwork_ms = 0.5\n";
-    expect!["honest: exit 0, \n"].assert_eq(&found(folder.path(), "honest", &format!("{crowd}{kills}")));
+    expect!["honest: exit 0, \n"].assert_eq(&verdict(folder.path(), "honest", &format!("{crowd}{kills}")));
 }
 
-/// The danger is a machine full of balancers that nobody ends.
+/// Otherwise balancers of an aborted laboratory would pile up on the machine.
 #[test]
-fn a_laboratory_killed_outright_leaves_no_balancer_behind() {
+fn balancers_end_when_the_laboratory_is_killed() {
     let folder = tempfile::tempdir().unwrap();
-    let scenario = file(folder.path(), "s.toml", &SCENARIO.replace("seconds = 2.5", "seconds = 60.0"));
+    let scenario = write_file(folder.path(), "s.toml", &SCENARIO.replace("seconds = 2.5", "seconds = 60.0"));
     let line =
         ["run", &scenario, "--program", env!("CARGO_BIN_EXE_pondlb-planted"), "--argument", "left-behind"];
     let mut run = Command::new(env!("CARGO_BIN_EXE_pondlb-lab")).args(line).spawn().unwrap();
-    assert!(comes(|| planted("left-behind") == 1), "the balancer never came up");
+    assert!(within_5_seconds(|| count_planted("left-behind") == 1), "the balancer did not start");
     run.kill().unwrap();
     run.wait().unwrap();
-    assert!(comes(|| planted("left-behind") == 0), "the balancer lives on");
+    assert!(within_5_seconds(|| count_planted("left-behind") == 0), "the balancer is still running");
 }
 
-/// Whether it is so within five seconds.
-fn comes(so: impl Fn() -> bool) -> bool {
+/// Whether the condition becomes true within five seconds.
+fn within_5_seconds(condition: impl Fn() -> bool) -> bool {
     (0..100).any(|_| {
         thread::sleep(Duration::from_millis(50));
-        so()
+        condition()
     })
 }
 
-/// How many planted balancers run with that argument.
-fn planted(argument: &str) -> usize {
+/// How many test doubles of the balancer run with this argument.
+fn count_planted(argument: &str) -> usize {
     let lines = std::fs::read_dir("/proc")
         .unwrap()
         .flatten()
@@ -168,15 +171,15 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_told_in_a_line() {
+fn invalid_input_exits_with_2_and_names_the_error() {
     let folder = tempfile::tempdir().unwrap();
-    let good = file(folder.path(), "good.toml", SCENARIO);
-    let empty = file(
+    let good = write_file(folder.path(), "good.toml", SCENARIO);
+    let empty = write_file(
         folder.path(),
         "empty.toml",
         "seed = 1\nseconds = 1.0\nbalancers = 1\nupstreams = []\nschemes = []",
     );
-    let unknown = file(folder.path(), "unknown.toml", &SCENARIO.replace("cores", "hearts"));
+    let unknown = write_file(folder.path(), "unknown.toml", &SCENARIO.replace("cores", "hearts"));
     let missing: PathBuf = folder.path().join("missing.toml");
     let mut trace = String::new();
     for line in [
@@ -187,10 +190,10 @@
         vec!["run", &good, "--program", "/nowhere"],
         vec!["run", &good, "--program", "/bin/false"],
     ] {
-        let out = lab(&line);
-        let said = String::from_utf8([out.stdout, out.stderr].concat()).unwrap();
-        let said = said.replace(folder.path().to_str().unwrap(), "");
-        trace += &format!("{}: {}\n", out.status.code().unwrap(), said.trim());
+        let output = run_lab(&line);
+        let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+        let text = text.replace(folder.path().to_str().unwrap(), "");
+        trace += &format!("{}: {}\n", output.status.code().unwrap(), text.trim());
     }
     expect![[r#"
         0: 249 txns in 2.5 s to 1 balancers and 3 upstreams
