--- a/crates/pondlb-server/src/routing/interface.rs
+++ b/crates/pondlb-server/src/routing/interface.rs
@@ -44,5 +44,5 @@
     pub deadline: TenthMillis,
     /// The attempt must not be written at this time or later: upstreams may have forgotten the key of an earlier
     /// attempt that ran, and would run the request again.
-    pub send_by: Option<TenthMillis>,
+    pub start_before: Option<TenthMillis>,
 }
--- a/crates/pondlb-server/src/routing/router.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -335,8 +335,8 @@
 
     fn execute(&mut self, now: TenthMillis, action: Action) {
         match action {
-            Action::Attempt { request, upstream, timeout, send_by } => {
-                self.start_attempt(now, request, upstream, timeout, send_by);
+            Action::Attempt { request, upstream, timeout, start_before } => {
+                self.start_attempt(now, request, upstream, timeout, start_before);
             }
             Action::Cancel { request, attempt } => {
                 self.end_attempt(now, AttemptId { request, number: attempt }, Outcome::Cancelled.into());
@@ -373,7 +373,7 @@
         id: RequestId,
         upstream: UpstreamId,
         timeout: Option<TenthMillis>,
-        send_by: Option<TenthMillis>,
+        start_before: Option<TenthMillis>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = AttemptId { request: id, number: request.attempt_count };
@@ -394,7 +394,7 @@
                     address,
                     message: request.message.clone(),
                     deadline,
-                    send_by,
+                    start_before,
                 });
                 self.open_attempts.insert(attempt, OpenAttempt { started_at: now, upstream, handle });
                 return;
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -157,7 +157,7 @@
     // After a pause of the whole process, everything that arrived meanwhile becomes ready at once. Yielding lets the
     // task of a client that has disconnected run first, so that nothing is sent for that client.
     yield_now().await;
-    if attempt.send_by.is_some_and(|by| by <= clock.now()) {
+    if attempt.start_before.is_some_and(|start_before| start_before <= clock.now()) {
         return Outcome::Moot.into();
     }
     let bytes =
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -260,9 +260,9 @@
 
 const SECOND: TenthMillis = 10_000;
 
-/// Sends an attempt that may not be written from `begin_by` on to an upstream that resets the connection. Returns the
+/// Sends an attempt that may not be written from `start_before` on to an upstream that resets the connection. Returns the
 /// outcome of the attempt and the first line that the upstream read.
-async fn send_attempt(begin_by: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
+async fn send_attempt(start_before: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = upstream.local_addr().unwrap();
     let clock = Clock::start();
@@ -279,7 +279,7 @@
         address,
         message: Rc::new(Message { head, body: Vec::new() }),
         deadline: clock.now() + 20 * SECOND,
-        send_by: Some(begin_by(&clock)),
+        start_before: Some(start_before(&clock)),
     });
     let (stream, _) = upstream.accept().await.unwrap();
     let mut bytes = [0; 256];
@@ -296,7 +296,7 @@
 /// Guards against running a keyed request twice: when the connection is established late, the upstreams may have
 /// forgotten the key.
 #[test]
-fn an_attempt_whose_connection_is_established_after_begin_by_is_not_written() {
+fn an_attempt_whose_connection_is_established_after_start_before_is_not_written() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         assert_eq!(send_attempt(Clock::now).await, (Outcome::Moot, String::new()));
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -363,7 +363,7 @@
     ) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
         let has_time_for_attempt = self.response_times.plan(now, request.sla_end).has_time_for_attempt;
-        let send_by = request.repeat_by().into_iter().chain(self.lease.end(&self.config)).min();
+        let start_before = request.repeat_by().into_iter().chain(self.lease.end(&self.config)).min();
         let (cost, sla_end) = (request.cost, request.sla_end);
         let attempt = request.attempts.len() as u32;
         if attempt == 0 {
@@ -385,7 +385,7 @@
         request.probes.upstreams.clear();
         request.attempts.push(Attempt { upstream, sent_at: now, in_flight: true, may_have_run: false });
         let (request, upstream_id) = (request.id.clone(), entry.upstream.clone());
-        actions.push(Action::Attempt { request, upstream: upstream_id, timeout, send_by });
+        actions.push(Action::Attempt { request, upstream: upstream_id, timeout, start_before });
         let cost_if_cold = self.cost_if_cold(cost);
         self.fleet.upstreams[upstream].record_sent(now, cost, cost_if_cold, &self.config);
         let kind = AlarmKind::AttemptOverdue(attempt);
--- a/src/event.rs
+++ b/src/event.rs
@@ -211,8 +211,8 @@
         upstream: UpstreamId,
         /// End the attempt with [`Outcome::TimedOut`] after this duration.
         timeout: Option<TenthMillis>,
-        /// Don't start sending after this time, whatever has delayed the attempt until then.
-        send_by: Option<TenthMillis>,
+        /// Don't start writing the attempt at this time or later, whatever has delayed it until then.
+        start_before: Option<TenthMillis>,
     },
     /// Ask an upstream for its load.
     Probe { upstream: UpstreamId },
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -344,15 +344,15 @@
 
 /// Guards against an attempt that waits for a connection and is sent after the lease has expired.
 #[test]
-fn send_by_of_an_attempt_is_the_end_of_the_list_lease() {
+fn start_before_of_an_attempt_is_the_end_of_the_list_lease() {
     let mut balancer = TestBalancer::new(BalancerConfig { list_source: POLLED, ..default_config() });
     let actions = balancer
         .handle_at(0, [snapshot("a"), Event::ListConfirmed { at: 0 }, request_arrived("r", IDEMPOTENT)]);
-    let send_by = actions.iter().find_map(|action| match action {
-        Action::Attempt { send_by, .. } => Some(*send_by),
+    let start_before = actions.iter().find_map(|action| match action {
+        Action::Attempt { start_before, .. } => Some(*start_before),
         _ => None,
     });
-    assert_eq!(send_by, Some(Some(6350 * MS)));
+    assert_eq!(start_before, Some(Some(6350 * MS)));
 }
 
 /// A front end that never confirms the list, such as the simulator's, must itself deliver each change in time.
