--- a/src/balance.rs
+++ b/src/balance.rs
@@ -178,9 +178,9 @@
         let capacity = entry.capacity.clamp(MIN_CAPACITY, MAX_CAPACITY);
         let cost_by_capacity = cost / capacity;
         let zone = self.fleet.zones.entry(entry.zone).or_default();
-        // The time of the way there and back counts as cost: otherwise that of a small request would look
+        // The network round trip counts as cost: otherwise that of a small request would look
         // like an overload of its upstream.
-        let way = zone.pace.min_duration;
+        let round_trip = zone.pace.min_duration;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
             zone.record_unanswered(now, now.saturating_sub(duration));
         }
@@ -188,14 +188,14 @@
             zone.answered_at = now;
             zone.outlier_score.level *= ANSWER_SCORE_FACTOR;
             zone.pace.record(duration, cost_by_capacity, RUNNING_MEAN_SAMPLES);
-            self.fleet.pace.record(duration, cost + way, RUNNING_MEAN_SAMPLES);
-            self.fleet.pace_by_capacity.record(duration, cost_by_capacity + way, RUNNING_MEAN_SAMPLES);
+            self.fleet.pace.record(duration, cost + round_trip, RUNNING_MEAN_SAMPLES);
+            self.fleet.pace_by_capacity.record(duration, cost_by_capacity + round_trip, RUNNING_MEAN_SAMPLES);
             let kind_pace = self.fleet.kind_paces.entry(entry.kind).or_default();
-            kind_pace.record(duration, cost_by_capacity + way, RUNNING_MEAN_SAMPLES);
+            kind_pace.record(duration, cost_by_capacity + round_trip, RUNNING_MEAN_SAMPLES);
         }
         upstream.record_ended(cost);
         let slow_after = self.response_times.high_quantile;
-        upstream.record_outcome(now, outcome, duration, cost + way, slow_after, &self.config);
+        upstream.record_outcome(now, outcome, duration, cost + round_trip, slow_after, &self.config);
     }
 
     /// Takes the entry of an upstream in a new list; none where the list doesn't contain it any more.
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -372,11 +372,11 @@
         } else if request.has_attempt_in_flight() {
             self.hedge_budget -= 1.0;
         }
-        // By its cost and its way: a heavy request or a long way is no sign of trouble, and a needless repeat
-        // of a heavy request is the most expensive one.
+        // By the request's cost and the network round trip: a heavy request or a long round trip is no sign of
+        // trouble, and a needless repeat of a heavy request is the most expensive one.
         let entry = &self.fleet.upstreams[upstream].entry;
-        let way = self.fleet.zones.get(&entry.zone).map_or(0.0, |zone| zone.pace.min_duration);
-        let usual_time = (OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * (cost + way)) as TenthMillis;
+        let round_trip = self.fleet.zones.get(&entry.zone).map_or(0.0, |zone| zone.pace.min_duration);
+        let usual_time = (OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * (cost + round_trip)) as TenthMillis;
         let overdue_after = self.response_times.high_quantile.max(usual_time);
         // Where two attempts may not be in flight, the first one is ended to make room for the next.
         let is_last = attempt + 1 >= request.limits.max_attempts;
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -203,7 +203,8 @@
     previous_best: Option<f64>,
     /// Answers that [`Pace::record_slowdown`] has recorded.
     slowdown_samples: u32,
-    /// The shortest response time of any cost, in tenths of a millisecond: mostly the way there and back.
+    /// The shortest response time of any cost, in tenths of a millisecond: mostly the network round
+    /// trip.
     pub min_duration: f64,
 }
 
