--- a/crates/pondlb-control-net/tests/program.rs
+++ b/crates/pondlb-control-net/tests/program.rs
@@ -106,7 +106,7 @@
     expect![[r#"
         strict.toml: initial: upstream/a: missing field `uid` at line 1 column 2
         strict.toml: initial: upstream/b: uid: "a": must equal the record's name
-        strict.toml: initial: upstream/a: capacity_hint is no size
+        strict.toml: initial: upstream/a: capacity_hint is not a finite, non-negative number
         strict.toml: initial: upstream/a: state: unknown variant `asleep`, expected one of `active`, `leaving`, `left` at line 1 column 73
         strict.toml: initial: class/a: class/a: missing field `SlaTimeNs` at line 1 column 2
         strict.toml: initial: tenant/a: tenant/a.QuotaRps: -1: 0 to 179769313486231570000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000 are accepted
--- a/crates/pondlb-terms/src/target.rs
+++ b/crates/pondlb-terms/src/target.rs
@@ -65,7 +65,7 @@
             return Err(format!("uid: {:?}: must equal the record's name", target.upstream));
         }
         if !target.has_valid_capacity() {
-            return Err("capacity_hint is no size".into());
+            return Err("capacity_hint is not a finite, non-negative number".into());
         }
         Ok(target)
     }
