--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -36,7 +36,7 @@
 struct NameIndexes {
     /// The names in the settings; the index of each is its position.
     configured: Vec<String>,
-    /// IndexedNames that are not in the settings, each for as long as an upstream has it. No index is used twice, so that one
+    /// Names that are not in the settings, each for as long as an upstream has it. No index is used twice, so that one
     /// name is never taken for another.
     unconfigured: BTreeMap<Rc<str>, u32>,
     /// How the indexes of unconfigured names are used.
@@ -110,9 +110,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectoryCounts {
     pub upstreams: usize,
-    /// IndexedNames of zones that are not in the settings.
+    /// Names of zones that are not in the settings.
     pub unconfigured_zones: usize,
-    /// IndexedNames of machine kinds that are not in the settings.
+    /// Names of machine kinds that are not in the settings.
     pub unconfigured_kinds: usize,
 }
 
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -32,7 +32,7 @@
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The client must have accepted an answer within this time, or slow clients would pin memory.
 const ANSWER_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection is read after its write reader was shut down. Closing it over unread bytes would reset it, and
+/// How long a connection is read after its write side was shut down. Closing it over unread bytes would reset it, and
 /// the client could lose the last answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// How much is read at most from a lingering connection. Reading all of a huge rejected body would take processor time
@@ -235,7 +235,7 @@
     }
 }
 
-/// Returns when the client closes its reader. Requests that it pipelines meanwhile are kept as far as the read buffer
+/// Returns when the client closes its side of the connection. Requests that it pipelines meanwhile are kept as far as the read buffer
 /// reaches. Beyond that, input is read and discarded, since a close is seen only after everything sent before it; then
 /// no pipelined request is served.
 async fn wait_for_disconnect(
@@ -254,7 +254,7 @@
     }
 }
 
-/// Reads and discards input. Returns true when the peer has closed its reader, and false after `max_bytes`.
+/// Reads and discards input. Returns true when the peer has closed its side, and false after `max_bytes`.
 async fn discard_input(stream: &TcpStream, max_bytes: usize) -> bool {
     let (mut buffer, mut remaining) = (vec![0; 16 * 1024], max_bytes);
     while let Ok(count @ 1..) = read_available(stream, &mut buffer).await {
@@ -268,7 +268,7 @@
     true
 }
 
-/// Shuts down the write reader and reads for a moment what the client sent before it noticed. Closing the connection over
+/// Shuts down the write side and reads for a moment what the client sent before it noticed. Closing the connection over
 /// unread bytes would reset it, and the client could lose an answer that it has not read yet. Nothing read here is
 /// served.
 async fn close_gracefully(stream: &TcpStream, slot: ConnectionSlot) {
--- a/crates/pondlb-server/src/transport/connection_table.rs
+++ b/crates/pondlb-server/src/transport/connection_table.rs
@@ -19,7 +19,7 @@
     max_busy: Cell<usize>,
     memory: MemoryLimit,
     open: Cell<usize>,
-    /// Connections whose write reader is shut down, and which are only read for a moment longer.
+    /// Connections whose write side is shut down, and which are only read for a moment longer.
     lingering: Cell<usize>,
     next_eviction_number: Cell<u64>,
     /// Idle connections that never sent a request.
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -30,7 +30,7 @@
     kept: Option<TcpStream>,
     /// The longest list that is accepted, in bytes as sent.
     max_list_bytes: usize,
-    /// How long a call may wait in discovery's queue; see [`super::CallTimeouts::queue`].
+    /// How long a call may wait in discovery's queue; see [`super::CallTimeouts::queue_margin`].
     queue_margin: Duration,
 }
 
--- a/crates/pondlb-server/src/transport/mod.rs
+++ b/crates/pondlb-server/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and timers: the I/O reader of the protocol state machines in `crate::protocol`.
+//! Sockets and timers: the I/O side of the protocol state machines in `crate::protocol`.
 
 mod attempt;
 mod backoff;
--- a/crates/pondlb-server/src/transport/phase.rs
+++ b/crates/pondlb-server/src/transport/phase.rs
@@ -1,6 +1,6 @@
 //! The phases of the program, which the listener and the client connections watch.
 
-/// A phase of the program's life. Every run goes through them in this attempt.
+/// A phase of the program's life. Every run goes through them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Listens, but is not ready: no upstream is known, or discovery has not confirmed the list of upstreams yet.
--- a/crates/pondlb-server/src/transport/stream.rs
+++ b/crates/pondlb-server/src/transport/stream.rs
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 
 /// Waits until data can be read and reads as much of it as fits into `buffer`. Returns the number of bytes read, 0 when
-/// the peer has closed its reader.
+/// the peer has closed its side.
 pub async fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -51,7 +51,7 @@
     }
 }
 
-/// What the kernel holds for the reader of a connection.
+/// What the kernel has received on a connection and the program has not read yet.
 #[derive(PartialEq)]
 pub enum ReceiveState {
     /// There is nothing to read, and the connection is open.
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -260,8 +260,8 @@
 
 const SECOND: TenthMillis = 10_000;
 
-/// Sends an attempt that may not be written from `start_before` on to an upstream that resets the connection. Returns the
-/// outcome of the attempt and the first line that the upstream read.
+/// Sends an attempt that may not be written from `start_before` on to an upstream that resets the connection. Returns
+/// the outcome of the attempt and the first line that the upstream read.
 async fn send_attempt(start_before: impl FnOnce(&Clock) -> TenthMillis) -> (Outcome, String) {
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = upstream.local_addr().unwrap();
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -178,8 +178,8 @@
         let capacity = entry.capacity.clamp(MIN_CAPACITY, MAX_CAPACITY);
         let cost_by_capacity = cost / capacity;
         let zone = self.fleet.zones.entry(entry.zone).or_default();
-        // The network round trip counts as cost: otherwise that of a small request would look
-        // like an overload of its upstream.
+        // The network round trip counts as cost: otherwise that of a small request would look like an
+        // overload of its upstream.
         let round_trip = zone.pace.min_duration;
         if matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut) {
             zone.record_unanswered(now, now.saturating_sub(duration));
