--- a/crates/pondlb-server/src/program/live_settings.rs
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -22,10 +22,10 @@
         &mut self,
         now: TenthMillis,
         changes: &[SettingChange],
-        exchange: &mut Router<C>,
+        router: &mut Router<C>,
     ) -> Result<(), ConfigError> {
         let applied = self.settings.apply_records(changes)?;
-        self.apply(now, applied, exchange);
+        self.apply(now, applied, router);
         Ok(())
     }
 
@@ -35,14 +35,14 @@
         &mut self,
         now: TenthMillis,
         file: &Settings,
-        exchange: &mut Router<C>,
+        router: &mut Router<C>,
     ) -> Result<(), ConfigError> {
         let difference = self.settings.diff_with_file(file);
         for key in &difference.restart_keys {
             log::warn!("configuration: settings.{key}: the change takes a restart");
         }
         let applied = self.settings.apply_file_diff(difference)?;
-        self.apply(now, applied, exchange);
+        self.apply(now, applied, router);
         Ok(())
     }
 
@@ -51,11 +51,11 @@
         self.settings.connection_limits()
     }
 
-    fn apply<C: Transport>(&self, now: TenthMillis, applied: AppliedChanges, exchange: &mut Router<C>) {
+    fn apply<C: Transport>(&self, now: TenthMillis, applied: AppliedChanges, router: &mut Router<C>) {
         if applied.changed_count == 0 {
             return;
         }
-        exchange.apply_config_changes(now, &applied.config_changes);
+        router.apply_config_changes(now, &applied.config_changes);
         self.frontend.change_classes(applied.class_indices);
         let max_retry_after = self.settings.balancer_limits().max_retry_after;
         self.frontend.overload_retry_after.set(overload_retry_after(max_retry_after));
@@ -69,7 +69,7 @@
     }
 }
 
-/// The wait advised to a client whose request is rejected for overload before it reaches the exchange: half of the
+/// The wait advised to a client whose request is rejected for overload before it reaches the router: half of the
 /// longest wait that may be advised.
 pub fn overload_retry_after(max_retry_after: Option<TenthMillis>) -> Option<TenthMillis> {
     max_retry_after.map(|max_retry_after| max_retry_after / 2)
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -1,4 +1,4 @@
-//! The main loop: starts the parts of the program, and hands what they report to the exchange until the shutdown is
+//! The main loop: starts the parts of the program, and hands what they report to the router until the shutdown is
 //! complete.
 
 use std::cell::{Cell, RefCell};
@@ -81,8 +81,8 @@
 const PROCESS_RESTART_TIME: TenthMillis = 15_000;
 /// How long before its deadline a request must be answered, for delays of the main loop and of the way to the client.
 const ANSWER_SLACK: TenthMillis = 50;
-/// How many notes the exchange handles in one step.
-const MAX_NOTES_PER_STEP: usize = 256;
+/// How many events the router handles in one step.
+const MAX_EVENTS_PER_STEP: usize = 256;
 /// After this time a new process reports that it is ready even if discovery has not confirmed its list.
 const MAX_UNCONFIRMED_START: Duration = Duration::from_secs(5);
 /// How often the counters are logged while they change.
@@ -90,12 +90,12 @@
 /// A snapshot from control servers may take the memory limit divided by this, beside the memory for requests.
 const SNAPSHOT_MEMORY_DIVISOR: usize = 4;
 
-/// The running program: its phase, and the loop that hands all events to the exchange.
+/// The running program: its phase, and the loop that hands all events to the router.
 pub struct Service {
     phase: watch::Sender<Phase>,
     clock: Clock,
-    exchange: Router<OutboundTransport>,
-    exchange_rx: mpsc::UnboundedReceiver<RouterEvent>,
+    router: Router<OutboundTransport>,
+    router_rx: mpsc::UnboundedReceiver<RouterEvent>,
     /// Changes of settings from control servers; closed if none are followed.
     settings_rx: mpsc::UnboundedReceiver<SettingsUpdate>,
     /// Records from control servers that are not valid together with the current settings.
@@ -145,7 +145,7 @@
         };
         let clock = Clock::start();
         let (phase, phase_rx) = watch::channel(Phase::Starting);
-        let (exchange_tx, exchange_rx) = mpsc::unbounded_channel();
+        let (router_tx, router_rx) = mpsc::unbounded_channel();
         let (discovery_tx, discovery_rx) = mpsc::unbounded_channel();
         let (settings_tx, settings_rx) = mpsc::unbounded_channel();
         let pool = UpstreamPool::new(
@@ -161,7 +161,7 @@
             connections: connections.clone(),
             classes: RefCell::new(class_numbers(&setup.deployment.names.classes)),
             overload_retry_after: Cell::new(overload_retry_after(balancer_config.max_retry_after)),
-            exchange_tx: exchange_tx.clone(),
+            router_tx: router_tx.clone(),
             phase: phase_rx,
         });
         spawn_local(accept_connections(listener, frontend.clone()));
@@ -178,7 +178,7 @@
                 limit,
                 clock,
                 discovery_rx,
-                exchange_tx.clone(),
+                router_tx.clone(),
             ));
         }
         let control_status = Rc::new(Status::default());
@@ -194,29 +194,29 @@
                 status: control_status.clone(),
                 initial_upstreams,
             };
-            spawn_local(follow_control_servers(control, follower, exchange_tx.clone()));
+            spawn_local(follow_control_servers(control, follower, router_tx.clone()));
         }
         let transport = OutboundTransport {
             pool,
             clock,
             memory,
-            exchange_tx,
+            router_tx,
             discovery_tx: discovery_tx.clone(),
             probe: setup.probe,
         };
-        let mut exchange = Router::new(balancer, directory, transport, ANSWER_SLACK);
+        let mut router = Router::new(balancer, directory, transport, ANSWER_SLACK);
         if setup.control.is_some() {
-            exchange.await_first_snapshot();
+            router.await_first_snapshot();
         }
         let confirmed_at =
             setup.control.is_none().then(|| initial_list_confirmed_at(&setup.initial_list, clock.now()));
-        exchange.restore_list(clock.now(), setup.initial_list, confirmed_at);
+        router.restore_list(clock.now(), setup.initial_list, confirmed_at);
         log::info!("{} listens on {address}: {}", setup.name, setup.budget);
         Ok(Service {
             phase,
             clock,
-            exchange,
-            exchange_rx,
+            router,
+            router_rx,
             settings_rx,
             refused_changes: Vec::new(),
             control_status,
@@ -236,12 +236,12 @@
 
     /// Runs the main loop until a shutdown is complete.
     pub async fn run(mut self) -> io::Result<()> {
-        let mut batch = Vec::with_capacity(MAX_NOTES_PER_STEP);
+        let mut batch = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         while !self.is_over() {
             self.update_phase();
-            let exchange_wake = self.exchange.next_wakeup().map(|at| self.clock.instant_of(at));
-            let shutdown_wake = self.next_shutdown_step().filter(|at| *at > Instant::now());
-            let next_wake = exchange_wake.into_iter().chain(shutdown_wake).min();
+            let router_wakeup = self.router.next_wakeup().map(|at| self.clock.instant_of(at));
+            let shutdown_wakeup = self.next_shutdown_step().filter(|at| *at > Instant::now());
+            let next_wakeup = router_wakeup.into_iter().chain(shutdown_wakeup).min();
             let is_running = self.shutdown_began_at.is_none();
             tokio::select! {
                 biased;
@@ -249,11 +249,11 @@
                 _ = self.interrupt.recv(), if is_running => self.begin_shutdown(),
                 _ = self.hangup.recv() => self.reload_configuration(),
                 Some(update) = self.settings_rx.recv() => self.apply_settings_update(update),
-                _ = self.exchange_rx.recv_many(&mut batch, MAX_NOTES_PER_STEP) => {}
+                _ = self.router_rx.recv_many(&mut batch, MAX_EVENTS_PER_STEP) => {}
                 () = self.connections.slot_freed.notified(), if self.is(Phase::Closing) => {}
-                () = sleep_until(next_wake.unwrap_or_else(Instant::now)), if next_wake.is_some() => {}
+                () = sleep_until(next_wakeup.unwrap_or_else(Instant::now)), if next_wakeup.is_some() => {}
             }
-            self.exchange.handle_events(self.clock.now(), batch.drain(..));
+            self.router.handle_events(self.clock.now(), batch.drain(..));
             if self.last_metrics.at.elapsed() >= METRICS_LOG_INTERVAL {
                 self.log_metrics();
             }
@@ -272,7 +272,7 @@
 
     /// Logs the counters if they have changed since they were logged last.
     fn log_metrics(&mut self) {
-        let metrics = self.exchange.metrics();
+        let metrics = self.router.metrics();
         if *metrics != self.last_metrics.metrics {
             log::info!("metrics: {metrics}");
         }
@@ -293,9 +293,9 @@
         for key in new.keys_changed_since(&self.startup_settings) {
             log::warn!("configuration: {key}: the change takes a restart");
         }
-        self.handle_received_notes();
+        self.handle_received_events();
         let (now, file) = (self.clock.now(), &setup.settings);
-        if let Err(fault) = self.live_settings.apply_file(now, file, &mut self.exchange) {
+        if let Err(fault) = self.live_settings.apply_file(now, file, &mut self.router) {
             return log::error!("configuration: settings: {fault}; the previous settings stay in force");
         }
         self.update_shutdown_timeline();
@@ -308,7 +308,7 @@
         if let (Some(new_address), Some(old_address)) = (new.discovery, self.startup_settings.discovery)
             && new_address != old_address
         {
-            self.exchange.discovery_address_changed(self.clock.now());
+            self.router.discovery_address_changed(self.clock.now());
             let _ended = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
             self.startup_settings.discovery = Some(new_address);
         }
@@ -316,8 +316,8 @@
 
     /// Applies changes of the settings by records: all of them or none.
     fn change_settings(&mut self, changes: &[SettingChange]) -> Result<(), ConfigError> {
-        self.handle_received_notes();
-        self.live_settings.apply_records(self.clock.now(), changes, &mut self.exchange)?;
+        self.handle_received_events();
+        self.live_settings.apply_records(self.clock.now(), changes, &mut self.router)?;
         self.update_shutdown_timeline();
         Ok(())
     }
@@ -352,14 +352,14 @@
         self.control_status.note_refused(self.refused_changes.len() as u64);
     }
 
-    /// Hands the notes received so far to the exchange. They must not be handled after a change of the settings: their
+    /// Hands the events received so far to the router. They must not be handled after a change of the settings: their
     /// requests carry class numbers from before it, which the change may give to other classes.
-    fn handle_received_notes(&mut self) {
+    fn handle_received_events(&mut self) {
         let mut received = Vec::new();
-        while let Ok(note) = self.exchange_rx.try_recv() {
-            received.push(note);
+        while let Ok(event) = self.router_rx.try_recv() {
+            received.push(event);
         }
-        self.exchange.handle_events(self.clock.now(), received);
+        self.router.handle_events(self.clock.now(), received);
     }
 
     /// Adapts the timeline of a later shutdown to the settings. The timeline of a shutdown under way does not change.
@@ -371,7 +371,7 @@
 
     fn begin_shutdown(&mut self) {
         self.shutdown_began_at = Some(Instant::now());
-        self.exchange.set_shutdown_deadline(self.clock.now() + self.shutdown.answers_due_after);
+        self.router.set_shutdown_deadline(self.clock.now() + self.shutdown.answers_due_after);
     }
 
     fn is(&self, phase: Phase) -> bool {
@@ -383,14 +383,14 @@
     /// [`MAX_UNCONFIRMED_START`]. A program that has been ready stays so.
     fn may_serve(&self) -> bool {
         let is_waiting_over = self.started_at.elapsed() >= MAX_UNCONFIRMED_START;
-        !self.exchange.is_list_stale() || is_waiting_over || self.is(Phase::Serving)
+        !self.router.is_list_stale() || is_waiting_over || self.is(Phase::Serving)
     }
 
     fn update_phase(&mut self) {
         let phase = match self.shutdown_began_at {
             Some(began_at) if began_at.elapsed() >= self.shutdown.closing_after => Phase::Closing,
             Some(_) => Phase::Leaving,
-            None if self.exchange.has_upstreams() && self.may_serve() => Phase::Serving,
+            None if self.router.has_upstreams() && self.may_serve() => Phase::Serving,
             None => Phase::Starting,
         };
         self.phase.send_if_modified(|current| {
@@ -408,7 +408,7 @@
         let is_out_of_time =
             self.shutdown_began_at.is_some_and(|began_at| began_at.elapsed() >= self.shutdown.exit_after);
         let is_idle = self.connections.is_empty() || is_out_of_time;
-        self.is(Phase::Closing) && self.exchange.unanswered_count() == 0 && is_idle
+        self.is(Phase::Closing) && self.router.unanswered_count() == 0 && is_idle
     }
 }
 
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -177,7 +177,7 @@
 /// Memory of the program's code, stack and threads, which the memory limit does not count.
 const UNCOUNTED_MEMORY_BYTES: u64 = 12 << 20;
 /// The most memory that one request can take: the buffers of its client's connection, its message as kept and as
-/// written for one attempt, and its answer as read, kept and written.
+/// written for one attempt, and the response as read, kept and written.
 const MAX_REQUEST_MEMORY_BYTES: u64 =
     (2 * MAX_READER_BYTES + 4 * (DEFAULT_MAX_BODY_BYTES + MAX_HEAD_BYTES)) as u64;
 /// A list may be as long as the memory limit divided by this. As received, as upstreams and as what is known of each
@@ -247,7 +247,7 @@
         // Without the key `probe`, upstreams can't be probed: the platform's protocol has no request for it.
         deployment.balancer_config.probing = probe.is_some();
         let mut initial_list = initial_list.unwrap_or_default();
-        // The initial list names all known upstreams, even if it is the answer to a call for changes.
+        // The initial list names all known upstreams, even if it is the response to a call for changes.
         initial_list.is_snapshot = true;
         log::debug!("settings {}", file.settings.get());
         let name = file.name.or_else(|| env("RELAY_NAME")).unwrap_or_else(|| "pondlb".into());
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends attempts to upstreams and reads their answers; probes upstreams for their load.
+//! Sends attempts to upstreams and reads their responses; probes upstreams for their load.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,14 +18,14 @@
 use crate::protocol::upstream::{ResponseReader, UpstreamResponse, encode_attempt, encode_probe};
 use crate::routing::{AttemptHandle, AttemptId, AttemptResult, OutgoingAttempt, RouterEvent, Transport};
 
-/// Carries out the exchange's outbound calls: attempts and probes, each in a task of its own, and commands to the
+/// Carries out the router's outbound work: attempts and probes, each in a task of its own, and commands to the
 /// discovery client.
 pub struct OutboundTransport {
     pub pool: Rc<UpstreamPool>,
     pub clock: Clock,
     pub memory: MemoryLimit,
-    /// Where the ends of attempts and probes are reported.
-    pub exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    /// Where the results of attempts and probes are sent.
+    pub router_tx: mpsc::UnboundedSender<RouterEvent>,
     pub discovery_tx: mpsc::UnboundedSender<DiscoveryCommand>,
     /// How upstreams are probed for their load; none is probed where it is `None`.
     pub probe: Option<ProbeSettings>,
@@ -63,13 +63,13 @@
 
     fn send_attempt(&mut self, attempt: OutgoingAttempt) -> AttemptTask {
         let (pool, clock, memory) = (self.pool.clone(), self.clock, self.memory);
-        let exchange_tx = self.exchange_tx.clone();
+        let router_tx = self.router_tx.clone();
         let is_written = Rc::new(Cell::new(false));
         let set_written = is_written.clone();
         let task = spawn_local(async move {
             let id = attempt.id.clone();
             let result = run_attempt(&pool, clock, memory, attempt, &set_written).await;
-            let _ended = exchange_tx.send(RouterEvent::AttemptEnded { attempt: id, result });
+            let _ended = router_tx.send(RouterEvent::AttemptEnded { attempt: id, result });
         });
         AttemptTask { handle: task.abort_handle(), is_written }
     }
@@ -77,14 +77,14 @@
     fn probe(&mut self, upstream: UpstreamId, address: SocketAddr) {
         let Some(settings) = self.probe.clone() else { return };
         let (pool, clock, memory) = (self.pool.clone(), self.clock, self.memory);
-        let exchange_tx = self.exchange_tx.clone();
+        let router_tx = self.router_tx.clone();
         spawn_local(async move {
             let (start, deadline) = (clock.now(), Instant::now() + settings.timeout);
-            // An upstream whose answer never ends holds the connection no longer than this.
+            // An upstream whose response never ends holds the connection no longer than this.
             let probe = run_probe(&pool, memory, &settings.path, &upstream, address, deadline);
             let result = timeout_at(deadline, probe).await;
             let (outcome, load) = result.unwrap_or((Outcome::TimedOut, Load::default()));
-            let _ended = exchange_tx.send(RouterEvent::ProbeEnded {
+            let _ended = router_tx.send(RouterEvent::ProbeEnded {
                 upstream,
                 outcome,
                 duration: clock.now() - start,
@@ -123,7 +123,7 @@
     if write_all(&connection.stream, &encode_probe(path, address)).await.is_err() {
         return (Outcome::ConnectFailed, Load::default());
     }
-    match read_answer(&connection, memory).await {
+    match read_response(&connection, memory).await {
         Ok(UpstreamResponse { outcome, load, keep_alive, .. }) => {
             if keep_alive {
                 pool.release(upstream.clone(), connection);
@@ -134,7 +134,7 @@
     }
 }
 
-/// Sends an attempt and reads its answer.
+/// Sends an attempt and reads the response.
 ///
 /// The upstream can't have run the attempt until its last byte is written, and may have run it from then on;
 /// `is_written` is set at that moment. Nothing is ever written twice, so that only the decisions retry a request.
@@ -167,7 +167,7 @@
     }
     is_written.set(true);
     drop(bytes);
-    match timeout_at(deadline, read_answer(&connection, memory)).await {
+    match timeout_at(deadline, read_response(&connection, memory)).await {
         Err(_) => Outcome::TimedOut.into(),
         Ok(Err(outcome)) => outcome.into(),
         Ok(Ok(response)) => {
@@ -183,9 +183,9 @@
     }
 }
 
-/// Reads one whole answer. A connection that ends before any byte of it is told from one that ends within it or brings
-/// a malformed one: the upstream may be dead in the first case, and is alive in the other.
-async fn read_answer(
+/// Reads one whole response. A connection that ends before any byte of it is told from one that ends within it or
+/// brings a malformed one: the upstream may be dead in the first case, and is alive in the other.
+async fn read_response(
     connection: &PooledConnection,
     memory: MemoryLimit,
 ) -> Result<UpstreamResponse, Outcome> {
@@ -197,7 +197,7 @@
         let read = read_into(&connection.stream, reader.message_reader()).await;
         let count = read.map_err(|_| closed_outcome(&reader))?;
         if memory.is_exhausted() {
-            log::warn!("memory limit reached: dropped an upstream's answer");
+            log::warn!("memory limit reached: dropped an upstream's response");
             return Err(Outcome::Spoilt);
         }
         match reader.next_response(count == 0) {
@@ -205,7 +205,7 @@
             Ok(None) if count == 0 => return Err(closed_outcome(&reader)),
             Ok(None) => {}
             Err(error) => {
-                log::warn!("rejected an upstream's answer: {error}");
+                log::warn!("rejected an upstream's response: {error}");
                 return Err(Outcome::Spoilt);
             }
         }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: reads requests, hands them to the exchange and writes the answers.
+//! A client's connection: reads requests, hands them to the router and writes the answers.
 
 use std::cell::{Cell, RefCell};
 use std::net::Shutdown;
@@ -47,11 +47,11 @@
     pub connections: Rc<ConnectionTable>,
     /// The classes that requests may name.
     pub classes: RefCell<ClassIndexes>,
-    /// The wait advised to clients whose requests are rejected for overload before they reach the exchange; none is
+    /// The wait advised to clients whose requests are rejected for overload before they reach the router; none is
     /// advised where it is `None`.
     pub overload_retry_after: Cell<Option<TenthMillis>>,
     /// Where requests, and clients that disconnect, are reported.
-    pub exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    pub router_tx: mpsc::UnboundedSender<RouterEvent>,
     pub phase: watch::Receiver<Phase>,
 }
 
@@ -204,7 +204,7 @@
         };
         let request = arrival.request.clone();
         let (answer_sender, mut answer) = oneshot::channel();
-        self.exchange_tx.send(RouterEvent::RequestArrived { arrival, message, answer_sender }).ok()?;
+        self.router_tx.send(RouterEvent::RequestArrived { arrival, message, answer_sender }).ok()?;
         tokio::select! {
             biased;
             answer = &mut answer => {
@@ -220,8 +220,8 @@
     }
 
     fn report_disconnect(&self, request: RequestId) {
-        // The exchange outlives every connection but at the very end, when no answer is due any more.
-        let _ended = self.exchange_tx.send(RouterEvent::ClientDisconnected { request });
+        // The router outlives every connection but at the very end, when no answer is due any more.
+        let _ended = self.router_tx.send(RouterEvent::ClientDisconnected { request });
     }
 }
 
@@ -235,9 +235,9 @@
     }
 }
 
-/// Returns when the client closes its side of the connection. Requests that it pipelines meanwhile are kept as far as the read buffer
-/// reaches. Beyond that, input is read and discarded, since a close is seen only after everything sent before it; then
-/// no pipelined request is served.
+/// Returns when the client closes its side of the connection. Requests that it pipelines meanwhile are kept as far as
+/// the read buffer reaches. Beyond that, input is read and discarded, since a close is seen only after everything sent
+/// before it; then no pipelined request is served.
 async fn wait_for_disconnect(
     stream: &TcpStream,
     reader: &mut RequestReader,
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -52,11 +52,11 @@
     pub applied: oneshot::Sender<()>,
 }
 
-/// Follows the control servers for as long as the program runs. Changes of upstreams go to `exchange_tx`.
+/// Follows the control servers for as long as the program runs. Changes of upstreams go to `router_tx`.
 pub async fn follow_control_servers(
     control: ControlServers,
     follower: ControlFollower,
-    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    router_tx: mpsc::UnboundedSender<RouterEvent>,
 ) {
     let ControlFollower { name, number, seed, max_snapshot_bytes, settings_tx, status, initial_upstreams } =
         follower;
@@ -64,7 +64,7 @@
     let mut following = Following::new(control.servers, &name, number);
     (following.seed, following.hold, following.limits) = (seed, control.hold, limits);
     let (deliver, delivered) = mpsc::unbounded_channel();
-    let applier = UpdateApplier { exchange_tx, settings_tx, initial_upstreams, last_logged_at: None };
+    let applier = UpdateApplier { router_tx, settings_tx, initial_upstreams, last_logged_at: None };
     tokio::select! {
         () = follow(following, check_record, deliver, status) => {}
         () = applier.run(delivered) => {}
@@ -73,7 +73,7 @@
 
 /// Applies updates one after the other, settings before upstreams. Its methods return `None` when the program ends.
 struct UpdateApplier {
-    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    router_tx: mpsc::UnboundedSender<RouterEvent>,
     settings_tx: mpsc::UnboundedSender<SettingsUpdate>,
     /// See [`ControlFollower::initial_upstreams`]; empty after the first snapshot.
     initial_upstreams: BTreeSet<String>,
@@ -135,7 +135,7 @@
     /// `completes` says that a snapshot is applied completely with these upstreams.
     async fn apply_upstreams(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
         let (applied, is_applied) = oneshot::channel();
-        self.exchange_tx
+        self.router_tx
             .send(RouterEvent::UpstreamsChanged {
                 upstreams,
                 completes_snapshot: completes,
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery and its answer.
+//! One call to discovery and its response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         );
         let is_open = |kept: &TcpStream| receive_state(kept) == ReceiveState::Empty;
         if let Some(kept) = self.kept.take().filter(is_open) {
-            match self.exchange(kept, &request).await {
+            match self.call_on(kept, &request).await {
                 // Discovery closed the connection just as the call was sent. This is not a rejection, and calls have
                 // no effect, so the call is repeated on a new connection.
                 Err(CallError::ConnectionBroken(_)) if called_at.elapsed() < CLOSED_BEFORE_CALL => {}
@@ -66,45 +66,47 @@
             Ok(stream) => stream.map_err(|error| CallError::from_connect_error(&error))?,
             Err(_) => return Err(CallError::ConnectTimedOut),
         };
-        self.exchange(stream, &request).await
+        self.call_on(stream, &request).await
     }
 
-    async fn exchange(&mut self, stream: TcpStream, request: &[u8]) -> Result<UpstreamList, CallError> {
+    /// Sends a call on a connection and reads the response. Keeps the connection for the next call if it can be reused.
+    async fn call_on(&mut self, stream: TcpStream, request: &[u8]) -> Result<UpstreamList, CallError> {
         let called_at = Instant::now();
         let written = write_all(&stream, request).await;
         written.map_err(|error| CallError::from_io_error("the call", &error))?;
         let mut reader = ListReader::new(self.max_list_bytes);
         loop {
             let read = read_into(&stream, reader.message_reader()).await;
-            let count = read.map_err(|error| CallError::from_io_error("the answer", &error))?;
+            let count = read.map_err(|error| CallError::from_io_error("the response", &error))?;
             reader.count_received_bytes(count);
             let is_closed = count == 0;
             if is_closed && reader.is_idle() {
-                return Err(CallError::ConnectionBroken("connection closed without an answer".into()));
+                return Err(CallError::ConnectionBroken("connection closed without a response".into()));
             }
-            match reader.next_list(is_closed).map_err(|reason| self.answer_error(reason, called_at))? {
-                Some(listed) => {
-                    self.kept = listed.keep_alive.then_some(stream);
-                    return Ok(listed.list);
+            match reader.next_list(is_closed).map_err(|error| self.response_error(error, called_at))? {
+                Some(response) => {
+                    self.kept = response.keep_alive.then_some(stream);
+                    return Ok(response.list);
                 }
                 None if is_closed => {
-                    return Err(CallError::Rejected("connection closed within the answer".into()));
+                    return Err(CallError::Rejected("connection closed within the response".into()));
                 }
                 None => {}
             }
         }
     }
 
-    fn answer_error(&self, reason: ListError, called_at: Instant) -> CallError {
-        match reason {
+    /// Classifies an error in the response to the call made at `called_at`.
+    fn response_error(&self, error: ListError, called_at: Instant) -> CallError {
+        match error {
             // Discovery rejects calls from a full queue sooner than this. An error status that comes so late is a
             // proxy's, which did not reach discovery.
-            ListError::Status(line) if called_at.elapsed() > self.queue_margin * 2 / 3 => {
-                CallError::Unreachable(line)
+            ListError::Status(reason) if called_at.elapsed() > self.queue_margin * 2 / 3 => {
+                CallError::Unreachable(reason)
             }
             ListError::Status(reason) | ListError::Invalid(reason) => CallError::Rejected(reason),
             ListError::TooLong { size_bytes, limit_bytes } => {
-                CallError::ListTooLong { size: size_bytes, limit: limit_bytes }
+                CallError::ListTooLong { size_bytes, limit_bytes }
             }
         }
     }
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -14,7 +14,7 @@
 /// Derives the time up to which the list is confirmed from the calls, one after the other.
 #[derive(Default)]
 pub struct ListConfirmation {
-    /// Calls in a row that got no answer.
+    /// Calls in a row that got no response.
     unanswered_calls: u32,
 }
 
--- a/crates/pondlb-server/src/transport/discovery/error.rs
+++ b/crates/pondlb-server/src/transport/discovery/error.rs
@@ -14,7 +14,7 @@
 /// Why a call to discovery brought no list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallError {
-    /// No complete answer came within the call's timeout.
+    /// No complete response came within the call's timeout.
     TimedOut,
     /// The connection was not established in time.
     ConnectTimedOut,
@@ -23,10 +23,10 @@
     Unreachable(String),
     /// The connection broke, or this machine could not open one.
     ConnectionBroken(String),
-    /// Discovery rejected the call, or answered with something that is not a valid list.
+    /// Discovery rejected the call, or responded with something that is not a valid list.
     Rejected(String),
-    /// The list is longer than the limit. Both are in bytes.
-    ListTooLong { size: usize, limit: usize },
+    /// The list is longer than the limit.
+    ListTooLong { size_bytes: usize, limit_bytes: usize },
 }
 
 impl CallError {
@@ -48,8 +48,8 @@
         CallError::ConnectionBroken(format!("connection failed during {what}: {error}"))
     }
 
-    /// How the failure is reported to the exchange.
-    pub fn to_note(&self) -> RouterEvent {
+    /// The event that reports the failure to the router.
+    pub fn to_router_event(&self) -> RouterEvent {
         match self {
             CallError::TimedOut => RouterEvent::WatchTimedOut,
             CallError::ConnectTimedOut | CallError::Unreachable(_) | CallError::ConnectionBroken(_) => {
@@ -68,8 +68,11 @@
             CallError::Unreachable(reason)
             | CallError::ConnectionBroken(reason)
             | CallError::Rejected(reason) => write!(f, "{reason}"),
-            CallError::ListTooLong { size, limit } => {
-                write!(f, "a list of {size} bytes is refused; limits.memory_mb allows for {limit}")
+            CallError::ListTooLong { size_bytes, limit_bytes } => {
+                write!(
+                    f,
+                    "a list of {size_bytes} bytes is refused; limits.memory_mb allows for {limit_bytes}"
+                )
             }
         }
     }
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Follows discovery's list of upstreams: fetches, watches and what they report to the exchange.
+//! Follows discovery's list of upstreams: fetches it, watches it and sends the router events for both.
 
 mod call;
 mod confirmation;
@@ -29,32 +29,32 @@
     ChangeAddress(SocketAddr),
 }
 
-/// The shortest time between the calls of a watch while answers bring no changes. It is well under the time after which
-/// discovery considers a watch lapsed.
+/// The shortest time between the calls of a watch while responses bring no changes. It is well under the time after
+/// which discovery considers a watch lapsed.
 const MIN_WATCH_CALL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long calls may take.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
-    /// How long discovery may hold the first call of a watch. It is short, so that the answer soon shows that the
+    /// How long discovery may hold the first call of a watch. It is short, so that the response soon shows that the
     /// watch works.
     pub first_hold: Duration,
     /// How long discovery may hold the other calls of a watch. A change that a silent watch misses counts as announced
     /// six seconds later, and part of these must be left for the call that replaces the silent one.
     pub hold: Duration,
     /// How much longer than its hold a call of a watch may take before the watch counts as silent.
-    pub answer_margin: Duration,
-    /// How much longer than its hold a first call or a fetch may take. Discovery queues such calls of all balancers, and
-    /// rejects those that would wait for more than two seconds.
+    pub response_margin: Duration,
+    /// How much longer than its hold a first call or a fetch may take. Discovery queues such calls of all balancers,
+    /// and rejects those that would wait for more than two seconds.
     pub queue_margin: Duration,
 }
 
 impl CallTimeouts {
     /// The timeouts in production.
     pub fn new() -> Self {
-        let [first_hold, hold, answer_margin, queue_margin] =
+        let [first_hold, hold, response_margin, queue_margin] =
             [100, 1000, 300, 2200].map(Duration::from_millis);
-        CallTimeouts { first_hold, hold, answer_margin, queue_margin }
+        CallTimeouts { first_hold, hold, response_margin, queue_margin }
     }
 }
 
@@ -65,10 +65,10 @@
     pub backoff: Backoff,
 }
 
-/// Calls discovery as the decisions command, and reports lists and failures to the exchange.
+/// Calls discovery as the decisions command, and reports lists and failures to the router.
 ///
 /// The decisions choose when to retry after a failure, except after a list that is too long: it is unlikely to become
-/// shorter soon and costly for both ends, so it is asked for again with backoff here.
+/// shorter soon and costly for both ends, so it is requested again with backoff here.
 pub async fn follow_discovery(
     address: SocketAddr,
     version: u64,
@@ -76,7 +76,7 @@
     limit: ListLimit,
     clock: Clock,
     mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
-    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    router_tx: mpsc::UnboundedSender<RouterEvent>,
 ) {
     let mut client = DiscoveryClient {
         connection: DiscoveryConnection::new(address, limit.max_bytes, timeouts.queue_margin),
@@ -84,7 +84,7 @@
         timeouts,
         backoff: limit.backoff,
         clock,
-        exchange_tx,
+        router_tx,
         confirmation: ListConfirmation::default(),
         error_log: ErrorLog::default(),
         calls: 0,
@@ -119,7 +119,7 @@
     /// For lists that are too long.
     backoff: Backoff,
     clock: Clock,
-    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
+    router_tx: mpsc::UnboundedSender<RouterEvent>,
     confirmation: ListConfirmation,
     error_log: ErrorLog,
     /// Calls made so far; numbers them in the log.
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Calls again after each answer, so that the watch never lapses, until a call fails.
+    /// Calls again after each response, so that the watch never lapses, until a call fails.
     async fn watch(&mut self) {
         let mut hold = self.timeouts.first_hold;
         loop {
@@ -163,7 +163,7 @@
                 return;
             }
             let has_changes = self.version != known_version;
-            // Keeps a discovery that answers without holding the call from being called in a tight loop.
+            // Keeps a discovery that responds without holding the call from being called in a tight loop.
             if !has_changes && start.elapsed() < MIN_WATCH_CALL_INTERVAL {
                 sleep(MIN_WATCH_CALL_INTERVAL).await;
             }
@@ -172,9 +172,9 @@
         }
     }
 
-    /// Reports a call to the exchange. Returns false when the call failed or the program ends.
+    /// Reports a call to the router. Returns false when the call failed or the program ends.
     fn report(&mut self, call: CallResult) -> bool {
-        let (note, is_list) = match call.result {
+        let (event, is_list) = match call.result {
             Ok(list) => {
                 self.version = Some(list.version);
                 self.error_log.reset();
@@ -182,15 +182,15 @@
             }
             Err(error) => {
                 self.error_log.log(&error);
-                (error.to_note(), false)
+                (error.to_router_event(), false)
             }
         };
         // Sent after the list that it confirms.
         let confirmation =
             call.confirmed_at.map(|at| RouterEvent::ListConfirmed { at: self.clock.time_of(at) });
-        let mut is_received = self.exchange_tx.send(note).is_ok();
+        let mut is_received = self.router_tx.send(event).is_ok();
         if let Some(confirmation) = confirmation {
-            is_received &= self.exchange_tx.send(confirmation).is_ok();
+            is_received &= self.router_tx.send(confirmation).is_ok();
         }
         is_received && is_list
     }
@@ -238,8 +238,11 @@
 
     async fn call_in_time(&mut self, since: Option<ChangesSince>) -> Result<UpstreamList, CallError> {
         let hold = since.map(|since| since.hold).unwrap_or_default();
-        let margin =
-            if hold < self.timeouts.hold { self.timeouts.queue_margin } else { self.timeouts.answer_margin };
+        let margin = if hold < self.timeouts.hold {
+            self.timeouts.queue_margin
+        } else {
+            self.timeouts.response_margin
+        };
         let call = timeout(hold + margin, self.connection.call(since)).await;
         let list = call.map_err(|_| CallError::TimedOut)??;
         match since {
--- a/crates/pondlb-server/src/transport/memory.rs
+++ b/crates/pondlb-server/src/transport/memory.rs
@@ -4,7 +4,7 @@
 
 use cap::Cap;
 
-/// Counts all heap memory of the program: buffers, requests, answers, lists of upstreams and everything else.
+/// Counts all heap memory of the program: buffers, requests, responses, lists of upstreams and everything else.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
@@ -17,12 +17,12 @@
 
 impl MemoryLimit {
     /// Whether more than half of the limit is allocated. New requests are rejected then, because those already
-    /// admitted still grow by their attempts and answers.
+    /// admitted still grow by their attempts and responses.
     pub fn is_low(&self) -> bool {
         ALLOCATOR.allocated() > self.max_bytes / 2
     }
 
-    /// Whether the limit is exceeded, so that not even the answers to admitted requests can be read.
+    /// Whether the limit is exceeded, so that not even the upstreams' responses to admitted requests can be read.
     pub fn is_exhausted(&self) -> bool {
         ALLOCATOR.allocated() > self.max_bytes
     }
--- a/crates/pondlb-server/src/transport/pool.rs
+++ b/crates/pondlb-server/src/transport/pool.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// How long a connection stays idle before it is reused. A faulty upstream that sends two answers sends the second some
-/// milliseconds after the first; within this time it is noticed as unexpected input, and the connection is closed.
+/// How long a connection stays idle before it is reused. A faulty upstream that sends two responses sends the second
+/// some milliseconds after the first; within this time it is noticed as unexpected input, and the connection is closed.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 /// How often idle connections are checked for their timeout and for unexpected input.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
@@ -126,8 +126,8 @@
     }
 
     /// Removes and returns the most recently used idle connection, so that the others stay idle and reach their
-    /// timeout. Connections younger than [`MIN_IDLE_BEFORE_REUSE`] are passed over: more of the last answer may still
-    /// arrive on them and would be taken for the next answer.
+    /// timeout. Connections younger than [`MIN_IDLE_BEFORE_REUSE`] are passed over: more of the last response may still
+    /// arrive on them and would be taken for the next response.
     fn pop_reusable(&self, upstream: &UpstreamId) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let of_upstream = idle.get_mut(upstream)?;
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -29,15 +29,15 @@
 const SCRIPT_TIMEOUT: Duration = Duration::from_secs(30);
 /// After this time the first call of a watch times out: its hold and the time allowed for discovery's queue.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(50 + 200);
-/// How long a watch waits before the next call after an answer without changes.
+/// How long a watch waits before the next call after a response without changes.
 const WATCH_CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A discovery server that a test scripts, with the client's commands and its reports to the exchange.
+/// A discovery server that a test scripts, with the client's commands and its events for the router.
 struct FakeDiscovery {
     listener: TcpListener,
     commands: UnboundedSender<DiscoveryCommand>,
-    exchange_rx: UnboundedReceiver<RouterEvent>,
-    /// The paths called and what the client reported for each.
+    router_rx: UnboundedReceiver<RouterEvent>,
+    /// The paths called and the event that the client sent for each.
     trace: String,
 }
 
@@ -57,27 +57,28 @@
         self.trace += &format!("{path}: ");
     }
 
-    /// The next note from the client, except those that confirm the list.
-    async fn next_note(&mut self) -> RouterEvent {
+    /// The next event from the client, except those that confirm the list.
+    async fn next_event(&mut self) -> RouterEvent {
         loop {
-            match self.exchange_rx.recv().await.unwrap() {
+            match self.router_rx.recv().await.unwrap() {
                 RouterEvent::ListConfirmed { .. } => {}
-                note => return note,
+                event => return event,
             }
         }
     }
 
-    /// Adds the client's report on the call to the trace. After a failure it commands a new watch, as the decisions do.
-    async fn trace_report(&mut self) {
-        let note = match self.next_note().await {
-            RouterEvent::ListReceived(list) => format!("listed {}", list.version),
-            RouterEvent::ListRefused => "lost".into(),
-            RouterEvent::DiscoveryUnreachable => "unreached".into(),
-            RouterEvent::WatchTimedOut => "silent".into(),
-            _ => "no such note".into(),
+    /// Adds the client's event for the call to the trace. After a failure it commands a new watch, as the decisions do.
+    async fn trace_event(&mut self) {
+        let event = self.next_event().await;
+        let (is_failure, description) = match &event {
+            RouterEvent::ListReceived(list) => (false, format!("version {} received", list.version)),
+            RouterEvent::ListRefused => (true, "list refused".into()),
+            RouterEvent::DiscoveryUnreachable => (true, "discovery unreachable".into()),
+            RouterEvent::WatchTimedOut => (true, "watch timed out".into()),
+            _ => (true, "unexpected event".into()),
         };
-        self.trace += &format!("{note}\n");
-        if !note.starts_with("listed") {
+        self.trace += &format!("{description}\n");
+        if is_failure {
             self.commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
         }
     }
@@ -109,14 +110,14 @@
 async fn run_script(script: impl AsyncFnOnce(&mut FakeDiscovery)) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (commands, commands_rx) = unbounded_channel();
-    let (exchange_tx, exchange_rx) = unbounded_channel();
-    let [first_hold, hold, answer_margin, queue_margin] = [50, 500, 100, 200].map(Duration::from_millis);
-    let timeouts = CallTimeouts { first_hold, hold, answer_margin, queue_margin };
+    let (router_tx, router_rx) = unbounded_channel();
+    let [first_hold, hold, response_margin, queue_margin] = [50, 500, 100, 200].map(Duration::from_millis);
+    let timeouts = CallTimeouts { first_hold, hold, response_margin, queue_margin };
     let limit = ListLimit { max_bytes: MAX_LIST_BYTES, backoff: Backoff::new(1) };
     let (address, clock) = (listener.local_addr().unwrap(), Clock::start());
-    let client = follow_discovery(address, 7, timeouts, limit, clock, commands_rx, exchange_tx);
+    let client = follow_discovery(address, 7, timeouts, limit, clock, commands_rx, router_tx);
     commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
-    let mut discovery = FakeDiscovery { listener, commands, exchange_rx, trace: String::new() };
+    let mut discovery = FakeDiscovery { listener, commands, router_rx, trace: String::new() };
     tokio::select! {
         () = client => {}
         () = script(&mut discovery) => {}
@@ -124,8 +125,8 @@
     discovery.trace
 }
 
-/// An answer with a whole list.
-fn list_answer(version: u64, names: &[&str]) -> String {
+/// A response with a whole list.
+fn list_response(version: u64, names: &[&str]) -> String {
     let rest = r#""endpoint":"127.0.0.1:1","az":"a","model":"m","state":"active","capacity_hint":1"#;
     let targets: Vec<_> = names.iter().map(|uid| format!(r#"{{"uid":"{uid}",{rest}}}"#)).collect();
     let body = format!(r#"{{"rev":{version},"all":true,"targets":[{}]}}"#, targets.join(","));
@@ -146,38 +147,40 @@
     let trace = run_on_paused_clock(async |discovery| {
         let _unanswered = discovery.accept().await;
         advance(FIRST_CALL_TIMEOUT - MS).await;
-        assert!(discovery.exchange_rx.try_recv().is_err(), "the call has not timed out yet");
+        assert!(discovery.router_rx.try_recv().is_err(), "the call has not timed out yet");
         // Timers are rounded to whole milliseconds.
         advance(2 * MS).await;
-        discovery.trace_report().await;
+        discovery.trace_event().await;
         let malformed = "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{".to_string();
-        let (duplicate, older) = (list_answer(9, &["s1", "s1"]), list_answer(3, &["s1"]));
+        let (duplicate, older) = (list_response(9, &["s1", "s1"]), list_response(3, &["s1"]));
         let (redirect, busy) = (status("302 Found"), status("503 Busy"));
-        for answer in [list_answer(8, &["s1"]), duplicate, redirect, busy, malformed, older.clone(), older] {
+        for response in
+            [list_response(8, &["s1"]), duplicate, redirect, busy, malformed, older.clone(), older]
+        {
             let stream = discovery.accept().await;
-            write_all(&stream, answer.as_bytes()).await.unwrap();
+            write_all(&stream, response.as_bytes()).await.unwrap();
             drop(stream);
-            discovery.trace_report().await;
+            discovery.trace_event().await;
         }
         reset(discovery.accept().await);
-        discovery.trace_report().await;
+        discovery.trace_event().await;
         // A rejection after more than two thirds of the queue margin comes from a proxy that reached nobody.
         let stream = discovery.accept().await;
         advance(180 * MS).await;
         write_all(&stream, status("503 Down").as_bytes()).await.unwrap();
-        discovery.trace_report().await;
+        discovery.trace_event().await;
     });
     expect![[r#"
-        /catalog/members?from=7&hold_ms=50: silent
-        /catalog/members?from=7&hold_ms=50: listed 8
-        /catalog/members?from=8&hold_ms=500: lost
-        /catalog/members?from=8&hold_ms=50: lost
-        /catalog/members?from=8&hold_ms=50: lost
-        /catalog/members?from=8&hold_ms=50: lost
-        /catalog/members?from=8&hold_ms=50: lost
-        /catalog/members: listed 3
-        /catalog/members?from=3&hold_ms=50: unreached
-        /catalog/members?from=3&hold_ms=50: unreached
+        /catalog/members?from=7&hold_ms=50: watch timed out
+        /catalog/members?from=7&hold_ms=50: version 8 received
+        /catalog/members?from=8&hold_ms=500: list refused
+        /catalog/members?from=8&hold_ms=50: list refused
+        /catalog/members?from=8&hold_ms=50: list refused
+        /catalog/members?from=8&hold_ms=50: list refused
+        /catalog/members?from=8&hold_ms=50: list refused
+        /catalog/members: version 3 received
+        /catalog/members?from=3&hold_ms=50: discovery unreachable
+        /catalog/members?from=3&hold_ms=50: discovery unreachable
     "#]]
     .assert_eq(&trace);
 }
@@ -191,30 +194,30 @@
         // the call is a failure of the call.
         let mut stream = discovery.accept().await;
         for _ in 0..2 {
-            write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
+            write_all(&stream, list_response(8, &["s1"]).as_bytes()).await.unwrap();
             drop(stream);
-            discovery.trace_report().await;
+            discovery.trace_event().await;
             advance(WATCH_CALL_INTERVAL + MS).await;
             stream = discovery.accept().await;
         }
-        write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
-        discovery.trace_report().await;
+        write_all(&stream, list_response(8, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_event().await;
         discovery.read_call(&mut stream).await;
         reset(stream);
         stream = discovery.accept().await;
-        write_all(&stream, list_answer(9, &["s1"]).as_bytes()).await.unwrap();
-        discovery.trace_report().await;
+        write_all(&stream, list_response(9, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_event().await;
         discovery.read_call(&mut stream).await;
         advance(200 * MS).await;
         reset(stream);
-        discovery.trace_report().await;
+        discovery.trace_event().await;
     });
     expect![[r#"
-        /catalog/members?from=7&hold_ms=50: listed 8
-        /catalog/members?from=8&hold_ms=500: listed 8
-        /catalog/members?from=8&hold_ms=500: listed 8
-        /catalog/members?from=8&hold_ms=500: /catalog/members?from=8&hold_ms=500: listed 9
-        /catalog/members?from=9&hold_ms=500: unreached
+        /catalog/members?from=7&hold_ms=50: version 8 received
+        /catalog/members?from=8&hold_ms=500: version 8 received
+        /catalog/members?from=8&hold_ms=500: version 8 received
+        /catalog/members?from=8&hold_ms=500: /catalog/members?from=8&hold_ms=500: version 9 received
+        /catalog/members?from=9&hold_ms=500: discovery unreachable
     "#]]
     .assert_eq(&trace);
 }
@@ -229,7 +232,7 @@
             let stream = discovery.accept().await;
             assert!(since.elapsed() >= min_delay, "{:?} is less than {min_delay:?}", since.elapsed());
             write_all(&stream, too_long.as_bytes()).await.unwrap();
-            assert!(discovery.exchange_rx.try_recv().is_err());
+            assert!(discovery.router_rx.try_recv().is_err());
         }
         // A change of the address does not wait for the backoff.
         let since = Instant::now();
@@ -238,11 +241,11 @@
         discovery.commands.send(DiscoveryCommand::ChangeAddress(address)).unwrap();
         let stream = discovery.accept().await;
         assert!(since.elapsed() < Duration::from_millis(1000), "{:?}", since.elapsed());
-        write_all(&stream, list_answer(8, &["s1"]).as_bytes()).await.unwrap();
-        discovery.trace_report().await;
+        write_all(&stream, list_response(8, &["s1"]).as_bytes()).await.unwrap();
+        discovery.trace_event().await;
     });
     expect![[r#"
-        /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members: listed 8
+        /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members?from=7&hold_ms=50: /catalog/members: version 8 received
     "#]].assert_eq(&trace);
 }
 
@@ -266,12 +269,12 @@
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = upstream.local_addr().unwrap();
     let clock = Clock::start();
-    let (exchange_tx, mut exchange_rx) = unbounded_channel();
+    let (router_tx, mut router_rx) = unbounded_channel();
     let (discovery_tx, _discovery_rx) = unbounded_channel();
     let timeout = Duration::from_secs(60);
     let pool = UpstreamPool::new(4, timeout, timeout);
     let memory = MemoryLimit { max_bytes: usize::MAX };
-    let mut transport = OutboundTransport { pool, clock, memory, exchange_tx, discovery_tx, probe: None };
+    let mut transport = OutboundTransport { pool, clock, memory, router_tx, discovery_tx, probe: None };
     let head = Head { start_line: "POST / HTTP/1.1".into(), fields: Vec::new() };
     let _task = transport.send_attempt(OutgoingAttempt {
         id: AttemptId { request: "a1".into(), number: 1 },
@@ -286,11 +289,11 @@
     // The connection is closed without input if the attempt is not written.
     let count = read_available(&stream, &mut bytes).await.unwrap();
     reset(stream);
-    let Some(RouterEvent::AttemptEnded { result: end, .. }) = exchange_rx.recv().await else {
+    let Some(RouterEvent::AttemptEnded { result, .. }) = router_rx.recv().await else {
         panic!("the attempt does not end")
     };
     let text = String::from_utf8_lossy(&bytes[..count]);
-    (end.outcome, text.lines().next().unwrap_or_default().into())
+    (result.outcome, text.lines().next().unwrap_or_default().into())
 }
 
 /// Guards against running a keyed request twice: when the connection is established late, the upstreams may have
