--- a/crates/pondlb-server/src/protocol/answer.rs
+++ b/crates/pondlb-server/src/protocol/answer.rs
@@ -7,7 +7,7 @@
 /// The final answer of a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// The answer of an upstream.
+    /// The response of an upstream.
     Served(Message),
     /// The request has had no effect.
     Rejected {
--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -540,8 +540,8 @@
     "#]].assert_eq(&lines);
 }
 
-/// Random bytes, and valid messages with some bytes changed, removed or repeated: they are decoded or refused in bounded
-/// memory, and those of a client are answered with a 4xx.
+/// Random bytes, and valid messages with some bytes changed, removed or repeated: they are decoded or refused in
+/// bounded memory, and those of a client are answered with a 4xx.
 #[test]
 fn random_bytes_are_refused_in_bounded_memory() {
     let mut rng = WyRand::new_seed(7);
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -15,7 +15,7 @@
 /// Space for the head of an attempt, which is seldom longer.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// Encodes an attempt for a request with this id, whose answer is awaited for `wait`. The id is sent even if the client's
+/// Encodes an attempt for a request with this id, whose response is awaited for `wait`. The id is sent even if the client's
 /// `Connection` field names `Req-Id`: without it upstreams couldn't recognize a repeated request.
 pub fn encode_attempt(id: &str, message: &Message, wait: TenthMillis) -> Vec<u8> {
     let mut out = Vec::with_capacity(TYPICAL_HEAD_BYTES + message.body.len());
@@ -103,7 +103,7 @@
         200 => Outcome::Ok,
         503 | 504 if is_rejected => Outcome::Full,
         // These depend on the moment or on the upstream. Any other 4xx is the client's fault: another upstream would
-        // answer the same, and it doesn't count against this one.
+        // respond the same, and it doesn't count against this one.
         408 | 409 | 425 | 429 => Outcome::Error,
         400..=499 => Outcome::Moot,
         _ => Outcome::Error,
--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -235,8 +235,8 @@
     }
 }
 
-/// A start in Unix time (ms) on the balancer's clock. None if it is before that clock's start, or 0, which stands for long
-/// ago.
+/// A start in Unix time (ms) on the balancer's clock. None if it is before that clock's start, or 0, which stands for
+/// long ago.
 fn start_time(unix_ms: u64, unix_epoch: i64) -> Option<TenthMillis> {
     let tenths = i64::try_from(unix_ms).ok()?.checked_mul(10)?.checked_add(unix_epoch)?;
     if unix_ms == 0 { None } else { TenthMillis::try_from(tenths).ok() }
--- a/crates/pondlb-server/src/routing/events.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -29,7 +29,7 @@
     pub outcome: Outcome,
     /// The answer for the client, if this result decides it.
     pub final_answer: Option<Answer>,
-    /// The load that the upstream reported with its answer.
+    /// The load that the upstream reported in its response.
     pub load: Load,
 }
 
@@ -43,13 +43,13 @@
 pub enum RouterEvent {
     /// A client has sent a request.
     RequestArrived { arrival: Arrival, message: Message, answer_sender: oneshot::Sender<Answer> },
-    /// A client has closed its connection before its answer.
+    /// A client has closed its connection before it got its answer.
     ClientDisconnected { request: RequestId },
     /// An attempt has ended.
     AttemptEnded { attempt: AttemptId, result: AttemptResult },
     /// A probe of an upstream's load has ended.
     ProbeEnded { upstream: UpstreamId, outcome: Outcome, duration: TenthMillis, load: Load },
-    /// Discovery has answered with a list.
+    /// Discovery has responded with a list.
     ListReceived(UpstreamList),
     /// Control servers have changed upstreams.
     UpstreamsChanged {
@@ -61,10 +61,10 @@
     },
     /// The list was up to date at that time, or discovery could be reached by nobody then.
     ListConfirmed { at: TenthMillis },
-    /// Discovery refused a call, or its answer was not a list.
+    /// Discovery refused a call, or its response was not a list.
     ListRefused,
     /// A call to discovery reached nobody, or its connection broke.
     DiscoveryUnreachable,
-    /// A watch was not answered within its time limit.
+    /// A watch got no response before its timeout.
     WatchTimedOut,
 }
--- a/crates/pondlb-server/src/routing/interface.rs
+++ b/crates/pondlb-server/src/routing/interface.rs
@@ -28,7 +28,8 @@
 
 /// An open attempt, as the transport sees it.
 pub trait AttemptHandle {
-    /// Whether the last byte of the attempt has been written. From then on it may run; before, it can still be withdrawn.
+    /// Whether the last byte of the attempt has been written. From then on it may run; before, it can still be
+    /// withdrawn.
     fn is_written(&self) -> bool;
 }
 
@@ -40,7 +41,7 @@
     pub address: SocketAddr,
     /// The client's request.
     pub message: Rc<Message>,
-    /// When the balancer stops waiting for the answer.
+    /// When the balancer stops waiting for the response.
     pub deadline: TenthMillis,
     /// The attempt must not be written at this time or later: upstreams may have forgotten the key of an earlier
     /// attempt that ran, and would run the request again.
--- a/crates/pondlb-server/src/routing/metrics.rs
+++ b/crates/pondlb-server/src/routing/metrics.rs
@@ -14,7 +14,7 @@
     pub requests: u64,
     /// Final answers that came from an upstream and were passed to a client.
     pub served: u64,
-    /// Clients that disconnected before their answer.
+    /// Clients that disconnected before they got their answer.
     pub left: u64,
     /// Requests given up that are known to have had no effect, by reason.
     pub rejected: BTreeMap<GiveUpReason, u64>,
@@ -24,13 +24,13 @@
     pub attempts: u64,
     /// Ended attempts, by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// Answers of discovery that were lists.
+    /// Responses of discovery that were lists.
     pub lists: u64,
-    /// Calls to discovery that were refused or answered with something other than a list.
+    /// Calls to discovery that were refused or whose response was not a list.
     pub calls_refused: u64,
     /// Calls to discovery that reached nobody, or whose connection broke.
     pub calls_unreached: u64,
-    /// Calls to discovery that were not answered in time.
+    /// Calls to discovery that got no response in time.
     pub calls_silent: u64,
 }
 
