--- a/crates/pondlb-server/src/program/live_settings.rs
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -18,11 +18,11 @@
 
 impl LiveSettings {
     /// Applies changes by records: all of them or none. Open requests keep the settings with which they arrived.
-    pub fn apply_records<C: Transport>(
+    pub fn apply_records<T: Transport>(
         &mut self,
         now: TenthMillis,
         changes: &[SettingChange],
-        router: &mut Router<C>,
+        router: &mut Router<T>,
     ) -> Result<(), ConfigError> {
         let applied = self.settings.apply_records(changes)?;
         self.apply(now, applied, router);
@@ -31,11 +31,11 @@
 
     /// Applies the settings of a file that was read again: all of them or none. Logs a warning for each changed key
     /// that takes effect only after a restart.
-    pub fn apply_file<C: Transport>(
+    pub fn apply_file<T: Transport>(
         &mut self,
         now: TenthMillis,
         file: &Settings,
-        router: &mut Router<C>,
+        router: &mut Router<T>,
     ) -> Result<(), ConfigError> {
         let difference = self.settings.diff_with_file(file);
         for key in &difference.restart_keys {
@@ -47,11 +47,11 @@
     }
 
     /// The current limits of connections.
-    pub fn links(&self) -> ConnectionLimits {
+    pub fn connection_limits(&self) -> ConnectionLimits {
         self.settings.connection_limits()
     }
 
-    fn apply<C: Transport>(&self, now: TenthMillis, applied: AppliedChanges, router: &mut Router<C>) {
+    fn apply<T: Transport>(&self, now: TenthMillis, applied: AppliedChanges, router: &mut Router<T>) {
         if applied.changed_count == 0 {
             return;
         }
@@ -59,11 +59,11 @@
         self.frontend.change_classes(applied.class_indices);
         let max_retry_after = self.settings.balancer_limits().max_retry_after;
         self.frontend.overload_retry_after.set(overload_retry_after(max_retry_after));
-        let links = self.links();
-        self.frontend.connections.set_max_busy(links.max_open_requests as usize);
+        let limits = self.connection_limits();
+        self.frontend.connections.set_max_busy(limits.max_open_requests as usize);
         self.pool.set_timeouts(
-            tenth_millis_to_duration(links.upstream_idle_timeout / 2),
-            tenth_millis_to_duration(connect_timeout(&links)),
+            tenth_millis_to_duration(limits.upstream_idle_timeout / 2),
+            tenth_millis_to_duration(connect_timeout(&limits)),
         );
         log::info!("configuration: {} settings put in force", applied.changed_count);
     }
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -1,5 +1,4 @@
-//! The main loop: starts the parts of the program, and hands what they report to the router until the shutdown is
-//! complete.
+//! The main loop: starts the parts of the program, and hands their events to the router until the shutdown is complete.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -46,14 +45,14 @@
 }
 
 impl ShutdownTimeline {
-    /// `deadline` is the longest deadline of a request; `None` if a class has none.
-    pub(super) fn new(deadline: Option<TenthMillis>) -> Self {
-        let deadline = deadline.map(|deadline| deadline.min(MAX_RESTART_DEADLINE));
-        let killed_after = deadline.unwrap_or(MAX_RESTART_DEADLINE) + KILL_DELAY;
+    /// `max_deadline` is the longest deadline of a request; `None` if a class has none.
+    pub(super) fn new(max_deadline: Option<TenthMillis>) -> Self {
+        let max_deadline = max_deadline.map(|deadline| deadline.min(MAX_RESTART_DEADLINE));
+        let killed_after = max_deadline.unwrap_or(MAX_RESTART_DEADLINE) + KILL_DELAY;
         let answers_due_after = killed_after - ANSWERS_DUE_BEFORE_KILL;
         // Leaves the last requests enough time for a quick answer.
         let serve_until =
-            deadline.map_or(0, |_| answers_due_after.saturating_sub(MIN_TIME_FOR_LAST_REQUESTS));
+            max_deadline.map_or(0, |_| answers_due_after.saturating_sub(MIN_TIME_FOR_LAST_REQUESTS));
         let closing_after = serve_until.max(MIN_LEAVING_TIME.min(answers_due_after));
         ShutdownTimeline {
             closing_after: tenth_millis_to_duration(closing_after),
@@ -79,8 +78,9 @@
 const CONNECTION_LIMIT_MARGIN: TenthMillis = 500;
 /// The time in which a dead process is replaced. A list that was made for a start may be that old.
 const PROCESS_RESTART_TIME: TenthMillis = 15_000;
-/// How long before its deadline a request must be answered, for delays of the main loop and of the way to the client.
-const ANSWER_SLACK: TenthMillis = 50;
+/// How long before its deadline a request must be answered. This allows for delays of the main loop and of the network
+/// to the client.
+const DEADLINE_MARGIN: TenthMillis = 50;
 /// How many events the router handles in one step.
 const MAX_EVENTS_PER_STEP: usize = 256;
 /// After this time a new process reports that it is ready even if discovery has not confirmed its list.
@@ -134,7 +134,7 @@
         let listener = bind(setup.listen)
             .map_err(|error| io::Error::new(error.kind(), format!("listen: {}: {error}", setup.listen)))?;
         let address = listener.local_addr()?;
-        let (mut balancer_config, links) =
+        let (mut balancer_config, connection_limits) =
             (setup.deployment.balancer_config, setup.deployment.connection_limits);
         let own_index = balancer_config.own_index;
         // Control servers push the list. Discovery pushes it only in the simulator.
@@ -150,16 +150,19 @@
         let (settings_tx, settings_rx) = mpsc::unbounded_channel();
         let pool = UpstreamPool::new(
             setup.budget.upstream_connections,
-            tenth_millis_to_duration(links.upstream_idle_timeout / 2),
-            tenth_millis_to_duration(connect_timeout(&links)),
+            tenth_millis_to_duration(connection_limits.upstream_idle_timeout / 2),
+            tenth_millis_to_duration(connect_timeout(&connection_limits)),
         );
         spawn_local(pool.clone().run_sweeper());
         let memory = setup.budget.memory;
-        let connections =
-            ConnectionTable::new(setup.budget.client_connections, links.max_open_requests as usize, memory);
+        let connections = ConnectionTable::new(
+            setup.budget.client_connections,
+            connection_limits.max_open_requests as usize,
+            memory,
+        );
         let frontend = Rc::new(Frontend {
             connections: connections.clone(),
-            classes: RefCell::new(class_numbers(&setup.deployment.names.classes)),
+            classes: RefCell::new(class_indexes(&setup.deployment.names.classes)),
             overload_retry_after: Cell::new(overload_retry_after(balancer_config.max_retry_after)),
             router_tx: router_tx.clone(),
             phase: phase_rx,
@@ -204,7 +207,7 @@
             discovery_tx: discovery_tx.clone(),
             probe: setup.probe,
         };
-        let mut router = Router::new(balancer, directory, transport, ANSWER_SLACK);
+        let mut router = Router::new(balancer, directory, transport, DEADLINE_MARGIN);
         if setup.control.is_some() {
             router.await_first_snapshot();
         }
@@ -229,7 +232,7 @@
             discovery_tx,
             started_at: Instant::now(),
             shutdown_began_at: None,
-            shutdown: ShutdownTimeline::new(links.max_deadline),
+            shutdown: ShutdownTimeline::new(connection_limits.max_deadline),
             last_metrics: LoggedMetrics { metrics: Metrics::default(), at: Instant::now() },
         })
     }
@@ -324,7 +327,7 @@
 
     /// Applies the records of an update together. If they are not valid together, applies each one that is valid by
     /// itself.
-    fn apply_settings_update(&mut self, SettingsUpdate { changes, applied }: SettingsUpdate) {
+    fn apply_settings_update(&mut self, SettingsUpdate { changes, applied_sender }: SettingsUpdate) {
         self.refused_changes.retain(|refused| changes.iter().all(|change| change.key != refused.key));
         let settings: Vec<SettingChange> = changes.iter().map(setting_change).collect();
         if let Err(fault) = self.change_settings(&settings) {
@@ -337,7 +340,7 @@
             }
         }
         self.retry_refused_changes();
-        let _ended = applied.send(());
+        let _ended = applied_sender.send(());
     }
 
     /// Applies refused records that have become valid with the current settings, and reports the number of the others
@@ -353,7 +356,7 @@
     }
 
     /// Hands the events received so far to the router. They must not be handled after a change of the settings: their
-    /// requests carry class numbers from before it, which the change may give to other classes.
+    /// requests carry class indexes from before it, which the change may give to other classes.
     fn handle_received_events(&mut self) {
         let mut received = Vec::new();
         while let Ok(event) = self.router_rx.try_recv() {
@@ -365,7 +368,7 @@
     /// Adapts the timeline of a later shutdown to the settings. The timeline of a shutdown under way does not change.
     fn update_shutdown_timeline(&mut self) {
         if self.shutdown_began_at.is_none() {
-            self.shutdown = ShutdownTimeline::new(self.live_settings.links().max_deadline);
+            self.shutdown = ShutdownTimeline::new(self.live_settings.connection_limits().max_deadline);
         }
     }
 
@@ -415,8 +418,8 @@
 /// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream is told
 /// to drain must reach it within half of the drain grace. If the grace is 0, half of [`CONNECTION_LIMIT_MARGIN`] is
 /// left.
-pub(super) fn connect_timeout(links: &ConnectionLimits) -> TenthMillis {
-    links.connect_timeout.min((links.drain_grace + CONNECTION_LIMIT_MARGIN) / 2)
+pub(super) fn connect_timeout(limits: &ConnectionLimits) -> TenthMillis {
+    limits.connect_timeout.min((limits.drain_grace + CONNECTION_LIMIT_MARGIN) / 2)
 }
 
 /// How many connections the kernel queues until they are accepted. Hundreds may arrive at once, and a client whose
@@ -436,11 +439,11 @@
     if list.version == 0 { now - PROCESS_RESTART_TIME } else { 0 }
 }
 
-/// Maps the names of classes, which requests carry, to their numbers. If a name occurs twice, the first one counts.
-fn class_numbers(names: &[String]) -> ClassIndexes {
+/// Maps the names of classes, which requests carry, to their indexes. If a name occurs twice, the first one counts.
+fn class_indexes(names: &[String]) -> ClassIndexes {
     let mut classes = ClassIndexes::new();
-    for (number, name) in (0..).zip(names) {
-        classes.entry(name.clone()).or_insert(number);
+    for (index, name) in (0..).zip(names) {
+        classes.entry(name.clone()).or_insert(index);
     }
     classes
 }
--- a/crates/pondlb-server/src/protocol/discovery.rs
+++ b/crates/pondlb-server/src/protocol/discovery.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns the response once it is complete. `closed` says that discovery has closed its side of the connection.
-    pub fn next_list(&mut self, closed: bool) -> Result<Option<ListResponse>, ListError> {
+    pub fn next_response(&mut self, closed: bool) -> Result<Option<ListResponse>, ListError> {
         let message = self.reader.next_message().map_err(|error| ListError::Invalid(error.to_string()))?;
         if message.is_none() {
             self.check_length()?;
--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -95,7 +95,7 @@
     }
 
     fn describe_next(&mut self, closed: bool) -> Result<Option<String>, String> {
-        let response = self.next_list(closed).map_err(|error| match error {
+        let response = self.next_response(closed).map_err(|error| match error {
             ListError::Status(text) | ListError::Invalid(text) => text,
             ListError::TooLong { size_bytes, limit_bytes } => {
                 format!("{size_bytes} bytes are more than {limit_bytes}")
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -15,8 +15,8 @@
 /// Space for the head of an attempt, which is seldom longer.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// Encodes an attempt for a request with this id, whose response is awaited for `wait`. The id is sent even if the client's
-/// `Connection` field names `Req-Id`: without it upstreams couldn't recognize a repeated request.
+/// Encodes an attempt for a request with this id, whose response is awaited for `wait`. The id is sent even if the
+/// client's `Connection` field names `Req-Id`: without it upstreams couldn't recognize a repeated request.
 pub fn encode_attempt(id: &str, message: &Message, wait: TenthMillis) -> Vec<u8> {
     let mut out = Vec::with_capacity(TYPICAL_HEAD_BYTES + message.body.len());
     let start_line = &message.head.start_line;
--- a/crates/pondlb-server/src/routing/events.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -54,9 +54,9 @@
     /// Control servers have changed upstreams.
     UpstreamsChanged {
         upstreams: UpstreamList,
-        /// Whether these are the last upstreams of the first snapshot.
+        /// Whether these are the last upstreams of a snapshot.
         completes_snapshot: bool,
-        /// Notified once the changes are in force.
+        /// Notified once the changes are applied.
         applied_sender: oneshot::Sender<()>,
     },
     /// The list was up to date at that time, or discovery could be reached by nobody then.
--- a/crates/pondlb-server/src/routing/router.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -113,11 +113,16 @@
         self.run_balancer(now);
     }
 
-    /// Restores the list of upstreams from before the start, and the time at which it was last up to date. There is no
-    /// such time with control servers, which don't confirm lists.
-    pub fn restore_list(&mut self, now: TenthMillis, list: UpstreamList, current_at: Option<TenthMillis>) {
-        let entries = self.directory.apply_list(list);
-        self.events.extend(current_at.map(|at| Event::ListConfirmed { at }));
+    /// Restores the initial list of upstreams, which was stored before the start, and the time at which it was last
+    /// confirmed. There is no such time with control servers, which don't confirm lists.
+    pub fn restore_list(
+        &mut self,
+        now: TenthMillis,
+        initial_list: UpstreamList,
+        confirmed_at: Option<TenthMillis>,
+    ) {
+        let entries = self.directory.apply_list(initial_list);
+        self.events.extend(confirmed_at.map(|at| Event::ListConfirmed { at }));
         self.events.push(Event::ListUpdate(ListUpdate::Restored(entries)));
         self.run_balancer(now);
     }
@@ -162,7 +167,7 @@
         !self.directory.is_empty() && !self.awaits_first_snapshot
     }
 
-    /// Notes that discovery has another address from now on.
+    /// Tells the balancer that discovery has another address from now on.
     pub fn discovery_address_changed(&mut self, now: TenthMillis) {
         self.events.push(Event::DiscoveryAddressChanged);
         self.run_balancer(now);
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -94,7 +94,7 @@
     }
 
     fn watch_list(&mut self, enabled: bool) {
-        let _ended = self.discovery_tx.send(DiscoveryCommand::SetWatch(enabled));
+        let _ended = self.discovery_tx.send(DiscoveryCommand::WatchList { enabled });
     }
 
     fn fetch_list(&mut self) {
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -71,14 +71,21 @@
     Disconnected,
 }
 
+/// An answer as it is written to the client.
+struct EncodedAnswer {
+    bytes: Vec<u8>,
+    /// Whether the connection ends with it.
+    is_last: bool,
+}
+
 impl Frontend {
-    /// Adds, renumbers and removes classes. A class without a number is removed. Requests that are read from now on may
-    /// name the classes that are left.
+    /// Adds and removes classes and changes their indexes. A class without an index is removed. Requests that are read
+    /// from now on may name the classes that are left.
     pub fn change_classes(&self, changes: Vec<(String, Option<u32>)>) {
         let mut classes = self.classes.borrow_mut();
-        for (name, number) in changes {
-            match number {
-                Some(number) => classes.insert(name, number),
+        for (name, index) in changes {
+            match index {
+                Some(index) => classes.insert(name, index),
                 None => classes.remove(&name),
             };
         }
@@ -92,19 +99,19 @@
         loop {
             let step = self.next_step(&stream, &mut reader, &slot, is_used).await;
             is_used = true;
-            let (bytes, is_last) = match step {
-                NextStep::Serve(asked) => match self.serve_request(&stream, &mut reader, asked).await {
+            let EncodedAnswer { bytes, is_last } = match step {
+                NextStep::Serve(request) => match self.serve_request(&stream, &mut reader, request).await {
                     Some(answer) => answer,
                     None => return,
                 },
                 NextStep::RejectMalformed(error) => {
                     log::debug!("rejected a malformed request: {error}");
-                    (encode_error_response(error), true)
+                    EncodedAnswer { bytes: encode_error_response(error), is_last: true }
                 }
-                NextStep::RejectSlow => (encode_timeout_response(), true),
+                NextStep::RejectSlow => EncodedAnswer { bytes: encode_timeout_response(), is_last: true },
                 NextStep::RejectOverload => {
                     let answer = Answer::Rejected { retry_after: self.overload_retry_after.get() };
-                    (encode_answer(&answer, true), true)
+                    EncodedAnswer { bytes: encode_answer(&answer, true), is_last: true }
                 }
                 NextStep::CloseIdle => return close_gracefully(&stream, slot).await,
                 NextStep::Disconnected => return,
@@ -133,10 +140,10 @@
         loop {
             match reader.next_request(&self.classes.borrow()) {
                 Ok(Some(_)) if self.connections.must_reject_request() => return NextStep::RejectOverload,
-                Ok(Some(asked)) if !asked.is_health_check() && slot.is_excess() => {
+                Ok(Some(request)) if !request.is_health_check() && slot.is_excess() => {
                     return NextStep::RejectOverload;
                 }
-                Ok(Some(asked)) => return NextStep::Serve(asked),
+                Ok(Some(request)) => return NextStep::Serve(request),
                 Ok(None) => {}
                 Err(error) => return NextStep::RejectMalformed(error),
             }
@@ -183,37 +190,36 @@
         }
     }
 
-    /// Returns the answer as written to the client, and whether the connection ends with it; `None` when the client has
-    /// disconnected.
+    /// Returns the answer to a request; `None` when the client has disconnected.
     async fn serve_request(
         &self,
         stream: &TcpStream,
         reader: &mut RequestReader,
-        asked: ClientRequest,
-    ) -> Option<(Vec<u8>, bool)> {
+        request: ClientRequest,
+    ) -> Option<EncodedAnswer> {
         let has_discarded_input = Cell::new(false);
         let is_last =
-            |asked_last| asked_last || has_discarded_input.get() || *self.phase.borrow() >= Phase::Closing;
-        let (arrival, message) = match asked.kind {
+            || request.is_last || has_discarded_input.get() || *self.phase.borrow() >= Phase::Closing;
+        let (arrival, message) = match request.kind {
             RequestKind::HealthCheck => {
                 let is_ready = *self.phase.borrow() == Phase::Serving;
-                let is_last = is_last(asked.is_last);
-                return Some((encode_health_response(is_ready, is_last), is_last));
+                let is_last = is_last();
+                return Some(EncodedAnswer { bytes: encode_health_response(is_ready, is_last), is_last });
             }
             RequestKind::Forward { arrival, message } => (arrival, message),
         };
-        let request = arrival.request.clone();
-        let (answer_sender, mut answer) = oneshot::channel();
+        let request_id = arrival.request.clone();
+        let (answer_sender, mut answer_receiver) = oneshot::channel();
         self.router_tx.send(RouterEvent::RequestArrived { arrival, message, answer_sender }).ok()?;
         tokio::select! {
             biased;
-            answer = &mut answer => {
+            answer = &mut answer_receiver => {
                 let answer = answer.ok()?;
-                let is_last = is_last(asked.is_last) || answer == Answer::DuplicateId;
-                Some((encode_answer(&answer, is_last), is_last))
+                let is_last = is_last() || answer == Answer::DuplicateId;
+                Some(EncodedAnswer { bytes: encode_answer(&answer, is_last), is_last })
             }
             () = wait_for_disconnect(stream, reader, &has_discarded_input) => {
-                self.report_disconnect(request);
+                self.report_disconnect(request_id);
                 None
             }
         }
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -49,7 +49,7 @@
 pub struct SettingsUpdate {
     pub changes: Vec<Change>,
     /// Notified once the changes are applied.
-    pub applied: oneshot::Sender<()>,
+    pub applied_sender: oneshot::Sender<()>,
 }
 
 /// Follows the control servers for as long as the program runs. Changes of upstreams go to `router_tx`.
@@ -84,11 +84,11 @@
 impl UpdateApplier {
     async fn run(mut self, mut delivered: mpsc::UnboundedReceiver<Delivered>) {
         while let Some(Delivered { update, in_force }) = delivered.recv().await {
-            let (version, records) = (update.version, update.changes.len());
+            let (version, record_count) = (update.version, update.changes.len());
             if self.apply(update).await.is_none() {
                 return;
             }
-            self.log_version(version, records);
+            self.log_version(version, record_count);
             let _ended = in_force.send(());
         }
     }
@@ -101,9 +101,9 @@
             self.apply_upstreams(removal, false).await?;
         }
         let is_snapshot = update.is_whole_state;
-        for slice in update.into_batches(MAX_RECORDS_PER_STEP) {
-            let completes = is_snapshot && !slice.has_more;
-            self.apply_upstreams(upstream_list(slice), completes).await?;
+        for batch in update.into_batches(MAX_RECORDS_PER_STEP) {
+            let completes_snapshot = is_snapshot && !batch.has_more;
+            self.apply_upstreams(upstream_list(batch), completes_snapshot).await?;
         }
         Some(())
     }
@@ -113,9 +113,9 @@
         let tenant_steps = tenants.chunks(MAX_RECORDS_PER_STEP).map(<[Change]>::to_vec);
         let steps = std::iter::once(classes_and_limits).chain(tenant_steps);
         for changes in steps.filter(|changes| !changes.is_empty()) {
-            let (applied, is_applied) = oneshot::channel();
-            self.settings_tx.send(SettingsUpdate { changes, applied }).ok()?;
-            is_applied.await.ok()?;
+            let (applied_sender, applied_receiver) = oneshot::channel();
+            self.settings_tx.send(SettingsUpdate { changes, applied_sender }).ok()?;
+            applied_receiver.await.ok()?;
         }
         Some(())
     }
@@ -132,23 +132,20 @@
         missing.into_iter().collect()
     }
 
-    /// `completes` says that a snapshot is applied completely with these upstreams.
-    async fn apply_upstreams(&self, upstreams: UpstreamList, completes: bool) -> Option<()> {
-        let (applied, is_applied) = oneshot::channel();
+    /// Hands upstreams to the router and waits until they are applied. `completes_snapshot` says that they are the last
+    /// ones of a snapshot.
+    async fn apply_upstreams(&self, upstreams: UpstreamList, completes_snapshot: bool) -> Option<()> {
+        let (applied_sender, applied_receiver) = oneshot::channel();
         self.router_tx
-            .send(RouterEvent::UpstreamsChanged {
-                upstreams,
-                completes_snapshot: completes,
-                applied_sender: applied,
-            })
+            .send(RouterEvent::UpstreamsChanged { upstreams, completes_snapshot, applied_sender })
             .ok()?;
-        is_applied.await.ok()
+        applied_receiver.await.ok()
     }
 
-    fn log_version(&mut self, version: Version, records: usize) {
+    fn log_version(&mut self, version: Version, record_count: usize) {
         let is_due = self.last_logged_at.is_none_or(|at| at.elapsed() >= VERSION_LOG_INTERVAL);
         let level = if is_due { log::Level::Info } else { log::Level::Debug };
-        log::log!(level, "control: version {version} is in force, {records} records changed");
+        log::log!(level, "control: version {version} is in force, {record_count} records changed");
         if is_due {
             self.last_logged_at = Some(Instant::now());
         }
--- a/crates/pondlb-server/src/transport/discovery/call.rs
+++ b/crates/pondlb-server/src/transport/discovery/call.rs
@@ -83,7 +83,7 @@
             if is_closed && reader.is_idle() {
                 return Err(CallError::ConnectionBroken("connection closed without a response".into()));
             }
-            match reader.next_list(is_closed).map_err(|error| self.response_error(error, called_at))? {
+            match reader.next_response(is_closed).map_err(|error| self.response_error(error, called_at))? {
                 Some(response) => {
                     self.kept = response.keep_alive.then_some(stream);
                     return Ok(response.list);
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCommand {
     /// Starts or stops watching the list.
-    SetWatch(bool),
+    WatchList { enabled: bool },
     /// Fetches the whole list once.
     FetchList,
     /// Calls discovery at another address from now on.
@@ -105,7 +105,10 @@
 ) -> Option<DiscoveryCommand> {
     loop {
         let command = commands.recv().await?;
-        if matches!(command, DiscoveryCommand::SetWatch(false) | DiscoveryCommand::ChangeAddress(_)) {
+        if matches!(
+            command,
+            DiscoveryCommand::WatchList { enabled: false } | DiscoveryCommand::ChangeAddress(_)
+        ) {
             return Some(command);
         }
     }
@@ -135,8 +138,8 @@
 impl DiscoveryClient {
     async fn execute(&mut self, command: DiscoveryCommand) {
         match command {
-            DiscoveryCommand::SetWatch(true) => self.watch().await,
-            DiscoveryCommand::SetWatch(false) => self.connection.close(),
+            DiscoveryCommand::WatchList { enabled: true } => self.watch().await,
+            DiscoveryCommand::WatchList { enabled: false } => self.connection.close(),
             DiscoveryCommand::FetchList => {
                 let result = self.call_with_backoff(None).await;
                 self.report(result);
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -79,7 +79,7 @@
         };
         self.trace += &format!("{description}\n");
         if is_failure {
-            self.commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
+            self.commands.send(DiscoveryCommand::WatchList { enabled: true }).unwrap();
         }
     }
 }
@@ -116,7 +116,7 @@
     let limit = ListLimit { max_bytes: MAX_LIST_BYTES, backoff: Backoff::new(1) };
     let (address, clock) = (listener.local_addr().unwrap(), Clock::start());
     let client = follow_discovery(address, 7, timeouts, limit, clock, commands_rx, router_tx);
-    commands.send(DiscoveryCommand::SetWatch(true)).unwrap();
+    commands.send(DiscoveryCommand::WatchList { enabled: true }).unwrap();
     let mut discovery = FakeDiscovery { listener, commands, router_rx, trace: String::new() };
     tokio::select! {
         () = client => {}
