--- a/crates/pondlb-server/src/protocol/tests.rs
+++ b/crates/pondlb-server/src/protocol/tests.rs
@@ -95,7 +95,7 @@
     }
 
     fn describe_next(&mut self, closed: bool) -> Result<Option<String>, String> {
-        let response = self.next_list(closed).map_err(|error| match error {
+        let response = self.next_response(closed).map_err(|error| match error {
             ListError::Status(text) | ListError::Invalid(text) => text,
             ListError::TooLong { size_bytes, limit_bytes } => {
                 format!("{size_bytes} bytes are more than {limit_bytes}")
@@ -540,8 +540,8 @@
     "#]].assert_eq(&lines);
 }
 
-/// Random bytes, and valid messages with some bytes changed, removed or repeated: they are decoded or refused in bounded
-/// memory, and those of a client are answered with a 4xx.
+/// Random bytes, and valid messages with some bytes changed, removed or repeated: they are decoded or refused in
+/// bounded memory, and those of a client are answered with a 4xx.
 #[test]
 fn random_bytes_are_refused_in_bounded_memory() {
     let mut rng = WyRand::new_seed(7);
--- a/crates/pondlb-server/src/routing/directory.rs
+++ b/crates/pondlb-server/src/routing/directory.rs
@@ -36,7 +36,7 @@
 struct NameIndexes {
     /// The names in the settings; the index of each is its position.
     configured: Vec<String>,
-    /// IndexedNames that are not in the settings, each for as long as an upstream has it. No index is used twice, so that one
+    /// Names that are not in the settings, each for as long as an upstream has it. No index is used twice, so that one
     /// name is never taken for another.
     unconfigured: BTreeMap<Rc<str>, u32>,
     /// How the indexes of unconfigured names are used.
@@ -110,9 +110,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectoryCounts {
     pub upstreams: usize,
-    /// IndexedNames of zones that are not in the settings.
+    /// Names of zones that are not in the settings.
     pub unconfigured_zones: usize,
-    /// IndexedNames of machine kinds that are not in the settings.
+    /// Names of machine kinds that are not in the settings.
     pub unconfigured_kinds: usize,
 }
 
@@ -235,8 +235,8 @@
     }
 }
 
-/// A start in Unix time (ms) on the balancer's clock. None if it is before that clock's start, or 0, which stands for long
-/// ago.
+/// A start in Unix time (ms) on the balancer's clock. None if it is before that clock's start, or 0, which stands for
+/// long ago.
 fn start_time(unix_ms: u64, unix_epoch: i64) -> Option<TenthMillis> {
     let tenths = i64::try_from(unix_ms).ok()?.checked_mul(10)?.checked_add(unix_epoch)?;
     if unix_ms == 0 { None } else { TenthMillis::try_from(tenths).ok() }
--- a/crates/pondlb-server/src/routing/router.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -113,11 +113,16 @@
         self.run_balancer(now);
     }
 
-    /// Restores the list of upstreams from before the start, and the time at which it was last up to date. There is no
-    /// such time with control servers, which don't confirm lists.
-    pub fn restore_list(&mut self, now: TenthMillis, list: UpstreamList, current_at: Option<TenthMillis>) {
-        let entries = self.directory.apply_list(list);
-        self.events.extend(current_at.map(|at| Event::ListConfirmed { at }));
+    /// Restores the initial list of upstreams, which was stored before the start, and the time at which it was last
+    /// confirmed. There is no such time with control servers, which don't confirm lists.
+    pub fn restore_list(
+        &mut self,
+        now: TenthMillis,
+        initial_list: UpstreamList,
+        confirmed_at: Option<TenthMillis>,
+    ) {
+        let entries = self.directory.apply_list(initial_list);
+        self.events.extend(confirmed_at.map(|at| Event::ListConfirmed { at }));
         self.events.push(Event::ListUpdate(ListUpdate::Restored(entries)));
         self.run_balancer(now);
     }
@@ -162,7 +167,7 @@
         !self.directory.is_empty() && !self.awaits_first_snapshot
     }
 
-    /// Notes that discovery has another address from now on.
+    /// Tells the balancer that discovery has another address from now on.
     pub fn discovery_address_changed(&mut self, now: TenthMillis) {
         self.events.push(Event::DiscoveryAddressChanged);
         self.run_balancer(now);
@@ -335,8 +340,8 @@
 
     fn execute(&mut self, now: TenthMillis, action: Action) {
         match action {
-            Action::Attempt { request, upstream, timeout, send_by } => {
-                self.start_attempt(now, request, upstream, timeout, send_by);
+            Action::Attempt { request, upstream, timeout, start_before } => {
+                self.start_attempt(now, request, upstream, timeout, start_before);
             }
             Action::Cancel { request, attempt } => {
                 self.end_attempt(now, AttemptId { request, number: attempt }, Outcome::Cancelled.into());
@@ -373,7 +378,7 @@
         id: RequestId,
         upstream: UpstreamId,
         timeout: Option<TenthMillis>,
-        send_by: Option<TenthMillis>,
+        start_before: Option<TenthMillis>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = AttemptId { request: id, number: request.attempt_count };
@@ -394,7 +399,7 @@
                     address,
                     message: request.message.clone(),
                     deadline,
-                    send_by,
+                    start_before,
                 });
                 self.open_attempts.insert(attempt, OpenAttempt { started_at: now, upstream, handle });
                 return;
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -363,7 +363,7 @@
     ) {
         let Some(request) = self.queue.requests.get_mut(&number) else { return };
         let has_time_for_attempt = self.response_times.plan(now, request.sla_end).has_time_for_attempt;
-        let send_by = request.repeat_by().into_iter().chain(self.lease.end(&self.config)).min();
+        let start_before = request.repeat_by().into_iter().chain(self.lease.end(&self.config)).min();
         let (cost, sla_end) = (request.cost, request.sla_end);
         let attempt = request.attempts.len() as u32;
         if attempt == 0 {
@@ -372,11 +372,11 @@
         } else if request.has_attempt_in_flight() {
             self.hedge_budget -= 1.0;
         }
-        // By its cost and its way: a heavy request or a long way is no sign of trouble, and a needless repeat
-        // of a heavy request is the most expensive one.
+        // By the request's cost and the network round trip: a heavy request or a long round trip is no sign of
+        // trouble, and a needless repeat of a heavy request is the most expensive one.
         let entry = &self.fleet.upstreams[upstream].entry;
-        let way = self.fleet.zones.get(&entry.zone).map_or(0.0, |zone| zone.pace.min_duration);
-        let usual_time = (OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * (cost + way)) as TenthMillis;
+        let round_trip = self.fleet.zones.get(&entry.zone).map_or(0.0, |zone| zone.pace.min_duration);
+        let usual_time = (OVERDUE_PACE_FACTOR * self.fleet.pace.mean() * (cost + round_trip)) as TenthMillis;
         let overdue_after = self.response_times.high_quantile.max(usual_time);
         // Where two attempts may not be in flight, the first one is ended to make room for the next.
         let is_last = attempt + 1 >= request.limits.max_attempts;
@@ -385,7 +385,7 @@
         request.probes.upstreams.clear();
         request.attempts.push(Attempt { upstream, sent_at: now, in_flight: true, may_have_run: false });
         let (request, upstream_id) = (request.id.clone(), entry.upstream.clone());
-        actions.push(Action::Attempt { request, upstream: upstream_id, timeout, send_by });
+        actions.push(Action::Attempt { request, upstream: upstream_id, timeout, start_before });
         let cost_if_cold = self.cost_if_cold(cost);
         self.fleet.upstreams[upstream].record_sent(now, cost, cost_if_cold, &self.config);
         let kind = AlarmKind::AttemptOverdue(attempt);
