--- a/crates/pondlb-lab/src/main.rs
+++ b/crates/pondlb-lab/src/main.rs
@@ -11,10 +11,10 @@
 use pondlb_lab::ledger::Ledgers;
 use pondlb_lab::report;
 use pondlb_lab::run::{Report, play};
-use pondlb_lab::scale::hollow::{self, PlantedFault};
-use pondlb_lab::scale::process::machine_memory;
+use pondlb_lab::scale::hollow_process::{self, PlantedFault};
+use pondlb_lab::scale::process::machine_memory_bytes;
 use pondlb_lab::scale::report::Verdict;
-use pondlb_lab::scale::run::{Programs, play as play_scale};
+use pondlb_lab::scale::run::{Programs, run_scenario as play_scale};
 use pondlb_lab::scale::scenario::Scenario as ScaleScenario;
 use pondlb_lab::scenario::Scenario;
 use pondlb_lab::slopes::{self, Dimension};
@@ -167,7 +167,9 @@
             Err(become_held(parent, &program, &arguments).to_string())
         }
         Command::Scale(line) => scale(line),
-        Command::Hollow { assignment, planted } => in_runtime(hollow::play(&assignment, planted)).map(|()| 0),
+        Command::Hollow { assignment, planted } => {
+            in_runtime(hollow_process::run_assignment(&assignment, planted)).map(|()| 0)
+        }
         Command::Check { scenario, plan } => {
             let scenario = read(&scenario)?;
             let arrivals = scenario.plan();
@@ -272,7 +274,7 @@
 fn scale(line: ScaleLine) -> Result<u8, String> {
     let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", line.scenario.display());
     let text = std::fs::read_to_string(&line.scenario).map_err(|e| named(&e))?;
-    let scenario = ScaleScenario::read(&text, line.share, machine_memory())
+    let scenario = ScaleScenario::parse(&text, line.share, machine_memory_bytes())
         .map_err(|faults| faults.iter().map(|fault| named(fault)).collect::<Vec<_>>().join("\n"))?;
     let programs = Programs {
         server: Program {
--- a/crates/pondlb-lab/src/scale/hollow.rs
+++ b/crates/pondlb-lab/src/scale/hollow_process.rs
@@ -20,7 +20,9 @@
 use super::clock;
 use super::consumer::{Consumer, KeyNumbers};
 use super::measure::WINDOW_SECONDS;
-use super::message::{Assignment, Bytes, FinalState, InForce, Order, Report, Traffic};
+use super::message::{
+    Assignment, BalancerBytes, ByteCounts, FinalState, HollowCommand, HollowReport, InForce,
+};
 
 /// How often news is reported.
 const REPORT_EVERY: Duration = Duration::from_millis(250);
@@ -28,7 +30,7 @@
 const LATE: Duration = Duration::from_millis(300);
 /// How many updates a balancer takes before its planted fault.
 const UPDATES_BEFORE_FAULT: u64 = 3;
-const RESTART_GROUPS: u32 = 10;
+pub const RESTART_GROUPS: u32 = 10;
 
 /// A fault on purpose, which proves that a run can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -41,7 +43,7 @@
 ///
 /// # Errors
 /// Where the assignment can't be read, or nobody reads the reports any more.
-pub async fn play(file: &Path, fault: Option<PlantedFault>) -> io::Result<()> {
+pub async fn run_assignment(file: &Path, fault: Option<PlantedFault>) -> io::Result<()> {
     let assignment: Assignment = serde_json::from_slice(&std::fs::read(file)?)?;
     let orders = Receiver::from_file(File::from(io::stdin().as_fd().try_clone_to_owned()?))?;
     let reports = Sender::from_file(File::from(io::stdout().as_fd().try_clone_to_owned()?))?;
@@ -61,7 +63,7 @@
     balancers: Vec<Rc<Balancer>>,
     /// Those that take their first snapshot.
     starting: std::sync::Arc<Semaphore>,
-    news: RefCell<Vec<Report>>,
+    news: RefCell<Vec<HollowReport>>,
     in_force: RefCell<Vec<InForce>>,
 }
 
@@ -140,9 +142,9 @@
         self.consumer.replace(Consumer::new(keys));
     }
 
-    fn bytes(&self) -> Bytes {
+    fn bytes(&self) -> BalancerBytes {
         let Counts { received, sent, .. } = self.counts();
-        Bytes { balancer: self.number, received, sent, server: self.status.borrow().server() }
+        BalancerBytes { balancer: self.number, received, sent, server: self.status.borrow().server() }
     }
 
     fn state(&self) -> FinalState {
@@ -224,7 +226,8 @@
                 std::future::pending::<()>().await;
             }
             if let Err(misorder) = balancer.consumer.borrow_mut().take(&update) {
-                let report = Report::Misorder { balancer: balancer.number, what: misorder.to_string() };
+                let report =
+                    HollowReport::OrderViolation { balancer: balancer.number, what: misorder.to_string() };
                 self.news.borrow_mut().push(report);
             }
             let news = InForce {
@@ -250,15 +253,15 @@
         let mut lines = BufReader::new(orders).lines();
         while let Some(line) = lines.next_line().await? {
             match serde_json::from_str(&line)? {
-                Order::Restart(group) => self.restart(group),
-                Order::CountServerLoads(phase) => {
-                    let report = Report::ServerLoads(phase, self.traffic());
+                HollowCommand::Restart(group) => self.restart(group),
+                HollowCommand::CountServerLoads(phase) => {
+                    let report = HollowReport::ServerLoads(phase, self.traffic());
                     self.news.borrow_mut().push(report);
                 }
-                Order::Tell => {
+                HollowCommand::ReportFinalStates => {
                     self.report_bytes();
                     let states = self.balancers.iter().map(|balancer| balancer.state()).collect();
-                    self.news.borrow_mut().push(Report::Final(states));
+                    self.news.borrow_mut().push(HollowReport::Final(states));
                 }
             }
         }
@@ -273,12 +276,12 @@
     }
 
     fn report_bytes(&self) {
-        self.news.borrow_mut().push(Report::Traffic(self.traffic()));
+        self.news.borrow_mut().push(HollowReport::ByteCounts(self.traffic()));
     }
 
-    fn traffic(&self) -> Traffic {
+    fn traffic(&self) -> ByteCounts {
         let bytes = self.balancers.iter().map(|balancer| balancer.bytes()).collect();
-        Traffic { at_us: clock::now_us(), bytes }
+        ByteCounts { at_us: clock::now_us(), balancers: bytes }
     }
 
     async fn report_regularly(&self, mut reports: Sender) -> io::Result<()> {
@@ -292,13 +295,13 @@
             let in_force = self.in_force.take();
             let mut news = self.news.take();
             // Before the rest: final states are read once all that came in force is known.
-            news.insert(0, Report::InForce(in_force));
+            news.insert(0, HollowReport::InForce(in_force));
             reports.write_all(&lines(&news)?).await?;
         }
     }
 }
 
-fn lines(reports: &[Report]) -> io::Result<Vec<u8>> {
+fn lines(reports: &[HollowReport]) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     for report in reports {
         serde_json::to_writer(&mut text, report)?;
--- a/crates/pondlb-lab/src/scale/hollows.rs
+++ b/crates/pondlb-lab/src/scale/hollow_processes.rs
@@ -16,51 +16,51 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 use super::measure::ByteLedger;
-use super::message::{Assignment, FinalState, InForce, Order, Report, Traffic};
+use super::message::{Assignment, ByteCounts, FinalState, HollowCommand, HollowReport, InForce};
 use super::scenario::Scenario;
 use crate::holding::held;
 
 /// The sub-command that is a hollow process.
-pub const HOLLOW: &str = "hollow";
+pub const HOLLOW_SUBCOMMAND: &str = "hollow";
 
 /// What all hollow processes have reported.
 #[derive(Default)]
-pub struct Reported {
+pub struct HollowReports {
     /// For each balancer, what came in force there in the order of its times.
     pub in_force: BTreeMap<u32, Vec<InForce>>,
     /// Bytes by time.
     pub bytes: ByteLedger,
     /// Readings of counters that were asked for, with the phase that asked for them.
-    pub server_loads: Vec<(usize, Traffic)>,
+    pub server_load_readings: Vec<(usize, ByteCounts)>,
     /// Failed checks of the order of versions and revisions.
-    pub misorders: Vec<String>,
+    pub order_violations: Vec<String>,
     /// The states at the end, by balancer.
-    pub finals: BTreeMap<u32, FinalState>,
+    pub final_states: BTreeMap<u32, FinalState>,
     /// Lines that could not be read.
-    pub unreadable: u64,
+    pub unreadable_lines: u64,
 }
 
-impl Reported {
-    fn take(&mut self, report: Report) {
+impl HollowReports {
+    fn record(&mut self, report: HollowReport) {
         match report {
-            Report::InForce(news) => {
+            HollowReport::InForce(news) => {
                 for one in news {
                     self.in_force.entry(one.balancer).or_default().push(one);
                 }
             }
-            Report::Traffic(traffic) => self.bytes.note(&traffic),
-            Report::ServerLoads(phase, traffic) => self.server_loads.push((phase, traffic)),
-            Report::Misorder { balancer, what } => {
-                self.misorders.push(format!("hollow balancer {balancer}: {what}"));
+            HollowReport::ByteCounts(traffic) => self.bytes.note(&traffic),
+            HollowReport::ServerLoads(phase, traffic) => self.server_load_readings.push((phase, traffic)),
+            HollowReport::OrderViolation { balancer, what } => {
+                self.order_violations.push(format!("hollow balancer {balancer}: {what}"));
             }
-            Report::Final(states) => {
-                self.finals.extend(states.into_iter().map(|state| (state.balancer, state)));
+            HollowReport::Final(states) => {
+                self.final_states.extend(states.into_iter().map(|state| (state.balancer, state)));
             }
         }
     }
 
     /// How many balancers have this revision or a later one in force.
-    pub fn with_revision(&self, revision: u64) -> usize {
+    pub fn count_at_revision(&self, revision: u64) -> usize {
         let latest = |series: &&Vec<InForce>| series.last().is_some_and(|last| last.revision >= revision);
         self.in_force.values().filter(latest).count()
     }
@@ -77,7 +77,7 @@
     folder: TempDir,
     processes: Vec<Process>,
     /// What they have reported so far.
-    pub reported: Rc<RefCell<Reported>>,
+    pub reports: Rc<RefCell<HollowReports>>,
 }
 
 impl HollowProcesses {
@@ -90,7 +90,7 @@
         servers: &[Vec<SocketAddr>],
         arguments: &[String],
     ) -> io::Result<HollowProcesses> {
-        let mut hollow = HollowProcesses::none()?;
+        let mut hollow = HollowProcesses::without_processes()?;
         let processes = scenario.hollow_processes();
         let each = scenario.hollow_balancers().div_ceil(processes);
         for number in 0..processes {
@@ -111,8 +111,8 @@
     ///
     /// # Errors
     /// Where the machine has no folder to give.
-    pub fn none() -> io::Result<HollowProcesses> {
-        Ok(HollowProcesses { folder: tempfile::tempdir()?, processes: Vec::new(), reported: Rc::default() })
+    pub fn without_processes() -> io::Result<HollowProcesses> {
+        Ok(HollowProcesses { folder: tempfile::tempdir()?, processes: Vec::new(), reports: Rc::default() })
     }
 
     /// Starts one more; `arguments` are given to it beside its assignment.
@@ -130,7 +130,7 @@
         std::fs::write(&file, serde_json::to_vec(assignment)?)?;
         let log = File::create(self.folder.path().join(format!("{number}.log")))?;
         let mut child = held(&std::env::current_exe()?)?
-            .arg(HOLLOW)
+            .arg(HOLLOW_SUBCOMMAND)
             .arg(file)
             .args(arguments)
             .stdin(Stdio::piped())
@@ -139,7 +139,7 @@
             .spawn()?;
         let orders = child.stdin.take().ok_or(io::ErrorKind::BrokenPipe)?;
         let reports = child.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
-        let reader = spawn_local(read(reports, self.reported.clone()));
+        let reader = spawn_local(read(reports, self.reports.clone()));
         Ok(Process { child, orders, reader })
     }
 
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// Where one has ended.
-    pub async fn order(&mut self, order: &Order) -> io::Result<()> {
+    pub async fn send_command(&mut self, order: &HollowCommand) -> io::Result<()> {
         let line = serde_json::to_string(order)? + "\n";
         for process in &mut self.processes {
             process.orders.write_all(line.as_bytes()).await?;
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// Where it has ended.
-    pub fn stop(&self, number: u32) -> io::Result<()> {
+    pub fn pause(&self, number: u32) -> io::Result<()> {
         self.signal(number, Signal::STOP)
     }
 
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     /// Where it has ended.
-    pub fn continue_again(&self, number: u32) -> io::Result<()> {
+    pub fn resume(&self, number: u32) -> io::Result<()> {
         self.signal(number, Signal::CONT)
     }
 
@@ -179,12 +179,12 @@
     }
 
     /// Their process ids.
-    pub fn processes(&self) -> Vec<u32> {
+    pub fn process_ids(&self) -> Vec<u32> {
         self.processes.iter().filter_map(|process| process.child.id()).collect()
     }
 
     /// Which have ended by themselves, with the last line that they logged.
-    pub fn ended(&mut self) -> Vec<String> {
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let folder = self.folder.path();
         let ended = |(number, process): (usize, &mut Process)| {
             let status = process.child.try_wait().ok()??;
@@ -202,12 +202,12 @@
     }
 }
 
-async fn read(reports: ChildStdout, reported: Rc<RefCell<Reported>>) {
+async fn read(reports: ChildStdout, reported: Rc<RefCell<HollowReports>>) {
     let mut lines = BufReader::new(reports).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         match serde_json::from_str(&line) {
-            Ok(report) => reported.borrow_mut().take(report),
-            Err(_) => reported.borrow_mut().unreadable += 1,
+            Ok(report) => reported.borrow_mut().record(report),
+            Err(_) => reported.borrow_mut().unreadable_lines += 1,
         }
     }
 }
--- a/crates/pondlb-lab/src/scale/measure.rs
+++ b/crates/pondlb-lab/src/scale/measure.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::message::{InForce, Traffic};
+use super::message::{ByteCounts, InForce};
 
 /// The longest time that is told apart, in microseconds.
 const MOST_US: u64 = 600_000_000;
@@ -116,8 +116,8 @@
 
 impl ByteLedger {
     /// Notes the counters of some balancers.
-    pub fn note(&mut self, traffic: &Traffic) {
-        for bytes in &traffic.bytes {
+    pub fn note(&mut self, traffic: &ByteCounts) {
+        for bytes in &traffic.balancers {
             let readings = self.readings.entry(bytes.balancer).or_default();
             readings.push((traffic.at_us, bytes.received, bytes.sent));
         }
--- a/crates/pondlb-lab/src/scale/message.rs
+++ b/crates/pondlb-lab/src/scale/message.rs
@@ -1,117 +1,125 @@
-//! What the run and its hollow processes tell each other: one line of JSON each.
+//! The messages that the laboratory and its hollow processes exchange: one line of JSON each.
 
 use std::net::SocketAddr;
 
 use pondlb_control::{Digest, Version};
 use serde::{Deserialize, Serialize};
 
-/// What a hollow process is given at its start, as a file.
+/// What a hollow process reads from a file at its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Numbers of its balancers.
+    /// The numbers of the balancers that run in this process.
     pub balancers: Vec<u32>,
-    /// Control servers of each region; a balancer is in the region of its number's remainder.
+    /// The control servers of each region. A balancer belongs to the region `number % regions`.
     pub servers: Vec<Vec<SocketAddr>>,
-    /// Where chance starts from.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// For how long a server may hold a call.
+    /// For how long a server may hold a call for changes that finds none, in milliseconds.
     pub hold_ms: u64,
-    /// How many balancers may take their first snapshot at the same time.
+    /// How many balancers of the process may take their first snapshot at the same time.
     pub starts_at_once: u32,
 }
 
-/// What the run tells a hollow process on its standard input; its end ends the process.
+/// A command that a hollow process reads from its standard input. The process exits at the end of that input.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Order {
-    /// Those balancers whose number leaves this remainder by ten begin from nothing.
+pub enum HollowCommand {
+    /// Restart the balancers whose number modulo [`RESTART_GROUPS`](super::hollow_process::RESTART_GROUPS) is this; they
+    /// lose all of their state.
     Restart(u32),
-    /// Tell the counters of all balancers, with [`Report::ServerLoads`], for the phase of that number.
+    /// Report the byte counters of all balancers in a [`HollowReport::ServerLoads`] for the phase of this number.
     CountServerLoads(usize),
-    /// Tell the state of all balancers, with [`Report::Final`].
-    Tell,
+    /// Report the state of all balancers in a [`HollowReport::Final`].
+    #[serde(rename = "Tell")]
+    ReportFinalStates,
 }
 
-/// What a hollow process tells on its standard output.
+/// A message that a hollow process writes to its standard output.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Report {
-    /// What came in force since the last report, in the order of its times.
+pub enum HollowReport {
+    /// The versions that were put in force since the last report, in the order of time.
     InForce(Vec<InForce>),
-    /// The counters of all balancers, read at the same moment.
-    Traffic(Traffic),
-    /// The answer to [`Order::CountServerLoads`].
-    ServerLoads(usize, Traffic),
-    /// A check of a balancer's consumer failed.
-    Misorder {
-        /// Which balancer.
+    /// The byte counters of all balancers, read at the same moment.
+    #[serde(rename = "Traffic")]
+    ByteCounts(ByteCounts),
+    /// The answer to [`HollowCommand::CountServerLoads`]: the phase of the command, and the counters.
+    ServerLoads(usize, ByteCounts),
+    /// A balancer received an update with a version or revision that does not increase.
+    #[serde(rename = "Misorder")]
+    OrderViolation {
+        /// The number of the balancer.
         balancer: u32,
-        /// What was wrong.
+        /// The text of the [`OrderViolation`](super::consumer::OrderViolation).
         what: String,
     },
-    /// The answer to [`Order::Tell`].
+    /// The answer to [`HollowCommand::ReportFinalStates`].
     Final(Vec<FinalState>),
 }
 
-/// A version is in force at a balancer.
+/// The moment at which a version was put in force at a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Which balancer.
+    /// The number of the balancer.
     #[serde(rename = "b")]
     pub balancer: u32,
-    /// Its version's revision.
+    /// The revision of the version.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// When, by the machine's clock.
+    /// The time of the monotonic clock, in microseconds.
     #[serde(rename = "t")]
     pub at_us: u64,
 }
 
-/// Bytes of all balancers of a process up to a moment.
+/// The byte counters of several balancers, read at the same moment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Traffic {
-    /// When they were read.
+pub struct ByteCounts {
+    /// When the counters were read, by the monotonic clock in microseconds.
     pub at_us: u64,
-    /// One for each balancer.
-    pub bytes: Vec<Bytes>,
+    /// One entry for each balancer.
+    #[serde(rename = "bytes")]
+    pub balancers: Vec<BalancerBytes>,
 }
 
-/// Bytes of one balancer since its process started, over all of its restarts.
+/// The bytes that one balancer has exchanged with control servers since its process started, over all of its restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bytes {
-    /// Which balancer.
+pub struct BalancerBytes {
+    /// The number of the balancer.
     #[serde(rename = "b")]
     pub balancer: u32,
-    /// From control servers.
+    /// Bytes received from control servers.
     #[serde(rename = "i")]
     pub received: u64,
-    /// To control servers.
+    /// Bytes sent to control servers.
     #[serde(rename = "o")]
     pub sent: u64,
-    /// The server that it calls now.
+    /// The control server that the balancer calls at present.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub server: Option<SocketAddr>,
 }
 
-/// A balancer's state and what it went through.
+/// The state of a hollow balancer at the end of a run, with counters over all of its restarts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinalState {
-    /// Which balancer.
+    /// The number of the balancer.
     pub balancer: u32,
-    /// What is in force.
+    /// The version in force.
     pub version: Version,
-    /// Digest of its records; none where no server's digest was compared at that version.
+    /// The digest of its records; `None` if no server's digest was compared at that version.
     pub digest: Option<Digest>,
-    /// Answers that it did not take.
+    /// Answers of control servers that it rejected.
     pub rejections: u64,
-    /// Repairs that it went through.
+    /// Repairs of single buckets of records that it ran.
     pub repairs: u64,
-    /// Whole snapshots that it began.
+    /// Snapshots that it began to take.
     pub snapshots: u64,
-    /// Calls that it made.
+    /// Calls that it made to control servers.
     pub calls: u64,
-    /// Calls that brought no answer that can be read, as where a server refused one.
+    /// Calls without a readable answer, for example because the server refused the call.
     pub failures: u64,
-    /// Bytes from control servers.
+    /// Bytes received from control servers.
     pub received: u64,
-    /// Bytes to control servers.
+    /// Bytes sent to control servers.
     pub sent: u64,
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pondlb-lab/src/scale/mod.rs
+++ b/crates/pondlb-lab/src/scale/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod clock;
 pub mod consumer;
-pub mod hollow;
-pub mod hollows;
+pub mod hollow_process;
+pub mod hollow_processes;
 pub mod measure;
 pub mod message;
 pub mod process;
--- a/crates/pondlb-lab/src/scale/process.rs
+++ b/crates/pondlb-lab/src/scale/process.rs
@@ -33,7 +33,7 @@
 }
 
 /// What the machine has in all.
-pub fn machine_memory() -> u64 {
+pub fn machine_memory_bytes() -> u64 {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     kilobytes(&text, "MemTotal:").map_or(u64::MAX, |kilobytes| kilobytes << 10)
 }
--- a/crates/pondlb-lab/src/scale/real.rs
+++ b/crates/pondlb-lab/src/scale/real.rs
@@ -10,10 +10,10 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::clock;
-use super::message::{Bytes, InForce, Traffic};
+use super::message::{BalancerBytes, ByteCounts, InForce};
 use super::records::{TRAFFIC_CLASSES, zone_name};
 use super::scenario::Scenario;
-use super::tap::{Heard, Tap};
+use super::tap::{Tap, TapLog};
 use crate::balancers::{Balancers, Program, Restart};
 use crate::fleet::Fleet;
 use crate::ledger::{Asked, Ledgers, Told};
@@ -39,7 +39,7 @@
     /// Their processes.
     pub balancers: Balancers,
     /// What each told its control servers.
-    pub heard: Vec<Rc<Heard>>,
+    pub heard: Vec<Rc<TapLog>>,
     _taps: Vec<Tap>,
 }
 
@@ -67,7 +67,7 @@
     ) -> io::Result<RealBalancers> {
         let (mut heard, mut taps, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..scenario.real_balancers as usize {
-            let mine = Rc::new(Heard::default());
+            let mine = Rc::new(TapLog::default());
             let mut tapped = Vec::new();
             for server in &servers[number % servers.len().max(1)] {
                 let tap = Tap::start(scenario.listen, *server, mine.clone()).await?;
@@ -95,9 +95,9 @@
 
     /// What came in force at each of them, in the order of its times.
     pub fn in_force(&self) -> Vec<Vec<InForce>> {
-        let series = |(number, heard): (usize, &Rc<Heard>)| {
+        let series = |(number, heard): (usize, &Rc<TapLog>)| {
             let balancer = number as u32;
-            let told = heard.told.borrow();
+            let told = heard.states.borrow();
             let news = told.iter();
             news.map(|told| InForce { balancer, revision: told.version.revision, at_us: told.at_us })
                 .collect()
@@ -112,7 +112,7 @@
     pub async fn restart(&self, number: usize) -> io::Result<RealRestart> {
         let mut started_us = 0;
         let ended = || {
-            self.heard[number].begin_life();
+            self.heard[number].start_new_run();
             started_us = clock::now_us();
         };
         let took = self.balancers.restart(number, READY_WITHIN, ended).await?;
@@ -141,7 +141,8 @@
 
     /// How many have this revision or a later one in force.
     pub fn with_revision(&self, revision: u64) -> usize {
-        let has = |heard: &&Rc<Heard>| heard.in_force().is_some_and(|told| told.version.revision >= revision);
+        let has =
+            |heard: &&Rc<TapLog>| heard.in_force().is_some_and(|told| told.version.revision >= revision);
         self.heard.iter().filter(has).count()
     }
 }
@@ -239,12 +240,12 @@
 }
 
 /// The bytes that these have moved so far, read now.
-pub fn traffic(heard: &[Rc<Heard>]) -> Traffic {
-    let bytes = |(number, heard): (usize, &Rc<Heard>)| Bytes {
+pub fn traffic(heard: &[Rc<TapLog>]) -> ByteCounts {
+    let bytes = |(number, heard): (usize, &Rc<TapLog>)| BalancerBytes {
         balancer: number as u32,
-        received: heard.received.get(),
-        sent: heard.sent.get(),
-        server: heard.server.get(),
+        received: heard.bytes_received.get(),
+        sent: heard.bytes_sent.get(),
+        server: heard.last_server.get(),
     };
-    Traffic { at_us: clock::now_us(), bytes: heard.iter().enumerate().map(bytes).collect() }
+    ByteCounts { at_us: clock::now_us(), balancers: heard.iter().enumerate().map(bytes).collect() }
 }
--- a/crates/pondlb-lab/src/scale/records.rs
+++ b/crates/pondlb-lab/src/scale/records.rs
@@ -90,7 +90,7 @@
 
 impl RecordCounts {
     /// All together.
-    pub fn sum(&self) -> usize {
+    pub fn total(&self) -> usize {
         [self.upstreams, self.classes, self.tenants].map(|count| count as usize).iter().sum()
     }
 }
@@ -125,7 +125,7 @@
     }
 
     /// So many records of upstreams that nobody serves, in zones of one region.
-    pub fn unserved(counts: RecordCounts) -> Records {
+    pub fn without_served_upstreams(counts: RecordCounts) -> Records {
         Records {
             upstreams: counts.upstreams,
             classes: counts.classes,
@@ -145,7 +145,7 @@
     }
 
     /// Sets every record to its first value.
-    pub fn initial(&self) -> Vec<NewChange> {
+    pub fn initial_changes(&self) -> Vec<NewChange> {
         let upstreams = (0..self.upstreams).map(Record::Upstream);
         let classes = (0..self.classes).map(Record::Class);
         let tenants = (0..self.tenants).map(Record::Tenant);
@@ -154,12 +154,12 @@
             .chain(classes)
             .chain(tenants)
             .chain(limits)
-            .filter_map(|record| self.set(record, 0))
+            .filter_map(|record| self.update_change(record, 0))
             .collect()
     }
 
     /// Sets a record to its value of that number; other numbers give other values.
-    pub fn set(&self, record: Record, number: u32) -> Option<NewChange> {
+    pub fn update_change(&self, record: Record, number: u32) -> Option<NewChange> {
         let value = match record {
             Record::Upstream(upstream) => to_raw_value(&self.upstream(upstream, number)),
             Record::Class(class) => to_raw_value(&self.class(class, number)),
@@ -173,12 +173,12 @@
     }
 
     /// Removes a record.
-    pub fn remove(&self, record: Record) -> Option<NewChange> {
+    pub fn removal_change(&self, record: Record) -> Option<NewChange> {
         Some(NewChange { key: self.key(record)?, value: None })
     }
 
     /// Lists a served upstream as leaving, from when on nothing new may be sent to it.
-    pub fn drain(&self, served: u32) -> Option<NewChange> {
+    pub fn drain_change(&self, served: u32) -> Option<NewChange> {
         let leaving = Upstream { state: "leaving", ..self.upstream(served, 0) };
         let value: Box<RawValue> = to_raw_value(&leaving).ok()?;
         Some(NewChange { key: self.key(Record::Upstream(served))?, value: Some(value) })
@@ -192,7 +192,7 @@
 
     /// A record that the traffic does not need, for a change: mostly upstreams, some tenants, few classes and
     /// limits.
-    pub fn draw(&self, rng: &mut WyRand) -> Record {
+    pub fn draw_record(&self, rng: &mut WyRand) -> Record {
         let traffic_classes = TRAFFIC_CLASSES.len() as u32;
         match rng.generate_range(0..100_u32) {
             0..70 => Record::Upstream(rng.generate_range(self.served()..self.upstreams)),
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -11,9 +11,9 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::clock;
-use super::hollows::HollowProcesses;
+use super::hollow_processes::HollowProcesses;
 use super::measure::{ByteLedger, Committed, WINDOW_SECONDS};
-use super::message::{Order, Traffic};
+use super::message::{ByteCounts, HollowCommand};
 use super::real::{RealBalancers, RealRestart, direct, drains_told, take_apart, through_balancers};
 use super::records::Records;
 use super::report::{ChangesByKind, Report};
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// Where it could not be played at all.
-pub async fn play(programs: &Programs, scenario: Scenario) -> io::Result<Report> {
+pub async fn run_scenario(programs: &Programs, scenario: Scenario) -> io::Result<Report> {
     let mut run = Run::start(programs, scenario).await?;
     let started = run.wait_for_first_state().await?;
     run.play_phases().await?;
@@ -81,7 +81,7 @@
     drains: Vec<(u32, u64)>,
     samples: Vec<Sample>,
     /// Readings of real balancers' counters, with the phase that asked for them.
-    real_loads: Vec<(usize, Traffic)>,
+    real_loads: Vec<(usize, ByteCounts)>,
     latest_step_us: u64,
     failures: Vec<String>,
     direct_ids: HashSet<String>,
@@ -95,9 +95,10 @@
         let fleet = Fleet::start(book.clone(), traffic.fleet(), &traffic.rules, scenario.real_balancers)?;
         let records = Records::new(&scenario, &fleet);
         let steps = timeline::steps(&scenario, &records);
-        let servers = ControlServers::start(&programs.server, &scenario.layout(), records.initial()).await?;
+        let servers =
+            ControlServers::start(&programs.server, &scenario.layout(), records.initial_changes()).await?;
         let first_revision = servers.state(0).await?.version.revision;
-        let by_region = servers.by_region();
+        let by_region = servers.replica_addresses_by_region();
         // Before the others: the snapshots of many make the machine busy.
         let real = RealBalancers::start(&programs.balancer, &scenario, &fleet, &by_region).await?;
         let hollow = HollowProcesses::start(&scenario, &by_region, &programs.hollow_arguments)?;
@@ -137,7 +138,7 @@
     }
 
     fn with_revision(&self, revision: u64) -> usize {
-        self.hollow.reported.borrow().with_revision(revision) + self.real.with_revision(revision)
+        self.hollow.reports.borrow().count_at_revision(revision) + self.real.with_revision(revision)
     }
 
     async fn wait_for_first_state(&mut self) -> io::Result<Duration> {
@@ -148,7 +149,9 @@
             if ready == all {
                 return Ok(began.elapsed());
             }
-            if let Some(ended) = self.hollow.ended().into_iter().chain(self.servers.ended()).next() {
+            if let Some(ended) =
+                self.hollow.unexpected_exits().into_iter().chain(self.servers.unexpected_exits()).next()
+            {
                 return Err(io::Error::other(ended));
             }
             if began.elapsed() > START_WITHIN {
@@ -203,15 +206,15 @@
                 self.commit(step.phase, changes).await;
                 self.drains.extend(self.commits.last().map(|commit| (upstream, commit.last)));
             }
-            Action::Restart(group) => self.hollow.order(&Order::Restart(group)).await?,
+            Action::Restart(group) => self.hollow.send_command(&HollowCommand::Restart(group)).await?,
             Action::Release(interval_us) => self.release(step.phase, interval_us),
             Action::KillServers(replicas) => self.servers.kill(&replicas).await?,
-            Action::StartServers(replicas) => self.servers.start_again(&replicas)?,
+            Action::StartServers(replicas) => self.servers.restart_killed(&replicas)?,
             Action::CountServerLoads => self.count_server_loads(step.phase).await?,
-            Action::Cut => self.servers.cut(),
-            Action::Join => self.servers.join(),
-            Action::Stop(process) => self.hollow.stop(process)?,
-            Action::Continue(process) => self.hollow.continue_again(process)?,
+            Action::Cut => self.servers.partition_regions(),
+            Action::Join => self.servers.heal_partition(),
+            Action::Stop(process) => self.hollow.pause(process)?,
+            Action::Continue(process) => self.hollow.resume(process)?,
         }
         Ok(())
     }
@@ -241,7 +244,7 @@
     /// Reads the counters of real balancers, and asks hollow processes for theirs.
     async fn count_server_loads(&mut self, phase: usize) -> io::Result<()> {
         self.real_loads.push((phase, super::real::traffic(&self.real.heard)));
-        self.hollow.order(&Order::CountServerLoads(phase)).await
+        self.hollow.send_command(&HollowCommand::CountServerLoads(phase)).await
     }
 
     async fn commit(&mut self, phase: usize, changes: Vec<pondlb_control::NewChange>) {
@@ -258,18 +261,18 @@
     }
 
     fn sample(&mut self) {
-        let servers = self.servers.processes().into_iter().enumerate();
+        let servers = self.servers.process_ids().into_iter().enumerate();
         let servers =
             servers.map(|(number, id)| (if number == 0 { Role::Origin } else { Role::ReplicaServer }, id));
         let real = self.real.balancers.processes().into_iter().map(|id| (Role::RealBalancer, id));
-        let hollow = self.hollow.processes().into_iter().map(|id| (Role::HollowProcess, id));
+        let hollow = self.hollow.process_ids().into_iter().map(|id| (Role::HollowProcess, id));
         let own = std::iter::once((Role::Laboratory, std::process::id()));
         self.samples.push(Sample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
     }
 
     /// Notes which processes have ended by themselves, each once.
     fn note_ended(&mut self) {
-        for ended in self.servers.ended().into_iter().chain(self.hollow.ended()) {
+        for ended in self.servers.unexpected_exits().into_iter().chain(self.hollow.unexpected_exits()) {
             if !self.failures.contains(&ended) {
                 self.failures.push(ended);
             }
@@ -320,7 +323,7 @@
         self.note_ended();
         let server_states = self.server_states().await;
         let followers = self.followers().await;
-        if let Err(error) = self.hollow.order(&Order::Tell).await {
+        if let Err(error) = self.hollow.send_command(&HollowCommand::ReportFinalStates).await {
             self.failures.push(format!("a hollow process can't be asked for its state: {error}"));
         }
         self.wait_for_final_states().await;
@@ -337,7 +340,7 @@
             + self.scenario.hollow_processes() as usize
             + self.scenario.real_balancers as usize
             + 1;
-        let reported = self.hollow.reported.take();
+        let reported = self.hollow.reports.take();
         let replica_servers = self.servers.replica_servers();
         let evidence = Evidence {
             scenario: &self.scenario,
@@ -393,7 +396,9 @@
     async fn wait_for_final_states(&self) {
         let began = Instant::now();
         let hollow = self.scenario.hollow_balancers() as usize;
-        while began.elapsed() < FINAL_STATES_WITHIN && self.hollow.reported.borrow().finals.len() < hollow {
+        while began.elapsed() < FINAL_STATES_WITHIN
+            && self.hollow.reports.borrow().final_states.len() < hollow
+        {
             sleep(POLL).await;
         }
     }
--- a/crates/pondlb-lab/src/scale/scenario.rs
+++ b/crates/pondlb-lab/src/scale/scenario.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::records::LIMIT_COUNT;
-use super::servers::{Layout, UNBOUNDED_SNAPSHOT_PIECES};
+use super::servers::{Layout, UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND};
 use crate::scenario::Fault;
 
 /// A scale run: how many of everything, and what happens when.
@@ -224,7 +224,7 @@
             replica_servers: self.replica_servers,
             regions: self.regions,
             gather_ms: self.gather_ms,
-            snapshot_pieces_per_second: UNBOUNDED_SNAPSHOT_PIECES,
+            snapshot_pieces_per_second: UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND,
         }
     }
 
@@ -232,7 +232,7 @@
     ///
     /// # Errors
     /// All that is wrong, so that nobody mends one fault only to meet the next.
-    pub fn read(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<Fault>> {
+    pub fn parse(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<Fault>> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| vec![e.to_string().trim().into()])?;
         let mut faults = scenario.faults(memory_bytes, share);
         if !(share > 0.0 && share <= 1.0) {
--- a/crates/pondlb-lab/src/scale/server_loads.rs
+++ b/crates/pondlb-lab/src/scale/server_loads.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::message::{Bytes, Traffic};
+use super::message::{BalancerBytes, ByteCounts};
 use super::servers::ReplicaServer;
 
 const US_PER_SECOND: f64 = 1e6;
@@ -42,7 +42,7 @@
     /// From the first and the last reading of every balancer. Its bytes count for the server that it calls at the last.
     pub fn new<'a>(
         servers: &[ReplicaServer],
-        readings: impl Iterator<Item = &'a Traffic>,
+        readings: impl Iterator<Item = &'a ByteCounts>,
         share_bytes_per_second: f64,
     ) -> ServerLoads {
         let rates = rates(readings);
@@ -78,14 +78,14 @@
     bytes_per_second: f64,
 }
 
-fn rates<'a>(readings: impl Iterator<Item = &'a Traffic>) -> Vec<Rate> {
-    let mut of_balancers: BTreeMap<u32, Vec<(u64, Bytes)>> = BTreeMap::new();
+fn rates<'a>(readings: impl Iterator<Item = &'a ByteCounts>) -> Vec<Rate> {
+    let mut of_balancers: BTreeMap<u32, Vec<(u64, BalancerBytes)>> = BTreeMap::new();
     for traffic in readings {
-        for bytes in &traffic.bytes {
+        for bytes in &traffic.balancers {
             of_balancers.entry(bytes.balancer).or_default().push((traffic.at_us, *bytes));
         }
     }
-    let rate = |readings: Vec<(u64, Bytes)>| {
+    let rate = |readings: Vec<(u64, BalancerBytes)>| {
         let (from_us, first) = *readings.first()?;
         let (to_us, last) = *readings.last()?;
         let seconds = to_us.saturating_sub(from_us) as f64 / US_PER_SECOND;
--- a/crates/pondlb-lab/src/scale/server_loads/tests.rs
+++ b/crates/pondlb-lab/src/scale/server_loads/tests.rs
@@ -4,14 +4,14 @@
     ReplicaServer { name: name.into(), address: SocketAddr::from(([127, 0, 0, 1], port)), region: 0 }
 }
 
-fn reading(at_us: u64, bytes: &[(u32, u64, u16)]) -> Traffic {
-    let bytes = bytes.iter().map(|(balancer, moved, port)| Bytes {
+fn reading(at_us: u64, bytes: &[(u32, u64, u16)]) -> ByteCounts {
+    let bytes = bytes.iter().map(|(balancer, moved, port)| BalancerBytes {
         balancer: *balancer,
         received: moved / 2,
         sent: moved - moved / 2,
         server: Some(SocketAddr::from(([127, 0, 0, 1], *port))),
     });
-    Traffic { at_us, bytes: bytes.collect() }
+    ByteCounts { at_us, balancers: bytes.collect() }
 }
 
 #[test]
--- a/crates/pondlb-lab/src/scale/servers.rs
+++ b/crates/pondlb-lab/src/scale/servers.rs
@@ -27,7 +27,7 @@
 const MEMORY_MB: u64 = 1024;
 /// Pieces of snapshots a second that no run comes near: snapshots are bounded by the hollow processes, which take few at
 /// the same time.
-pub const UNBOUNDED_SNAPSHOT_PIECES: f64 = 100_000.0;
+pub const UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND: f64 = 100_000.0;
 /// As a server has it where its options say nothing.
 const DEFAULT_GATHER_MS: u64 = 200;
 const OK: u16 = 200;
@@ -100,7 +100,7 @@
             replica_servers,
             regions: 1,
             gather_ms: DEFAULT_GATHER_MS,
-            snapshot_pieces_per_second: UNBOUNDED_SNAPSHOT_PIECES,
+            snapshot_pieces_per_second: UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND,
         }
     }
 }
@@ -210,12 +210,12 @@
     }
 
     /// Where the origin serves.
-    pub fn origin(&self) -> SocketAddr {
+    pub fn origin_address(&self) -> SocketAddr {
         self.servers[0].address
     }
 
     /// Replica servers by region, as balancers are told them.
-    pub fn by_region(&self) -> Vec<Vec<SocketAddr>> {
+    pub fn replica_addresses_by_region(&self) -> Vec<Vec<SocketAddr>> {
         let mut regions = vec![Vec::new(); self.regions];
         for (replica, server) in self.servers.iter().skip(1).enumerate() {
             regions[self.region(replica)].push(server.address);
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     /// Where one can't be started.
-    pub fn start_again(&mut self, replicas: &[u32]) -> io::Result<()> {
+    pub fn restart_killed(&mut self, replicas: &[u32]) -> io::Result<()> {
         replicas.iter().try_for_each(|replica| self.spawn(*replica as usize + 1))
     }
 
@@ -283,12 +283,12 @@
     }
 
     /// Cuts the other regions off from the origin.
-    pub fn cut(&self) {
+    pub fn partition_regions(&self) {
         self.between_regions.cut();
     }
 
     /// Joins the regions again.
-    pub fn join(&self) {
+    pub fn heal_partition(&self) {
         self.between_regions.join();
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// Process ids of those that run, the origin first.
-    pub fn processes(&self) -> Vec<u32> {
+    pub fn process_ids(&self) -> Vec<u32> {
         self.servers.iter().filter_map(|server| server.child.as_ref()?.id()).collect()
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// Which have ended by themselves.
-    pub fn ended(&mut self) -> Vec<String> {
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let ended = |server: &mut Server| {
             let status = server.child.as_mut()?.try_wait().ok()??;
             Some(format!("{} ended by itself, {status}", server.name))
--- a/crates/pondlb-lab/src/scale/summary.rs
+++ b/crates/pondlb-lab/src/scale/summary.rs
@@ -7,16 +7,16 @@
 use hdrhistogram::Histogram;
 use pondlb_control::Version;
 
-use super::hollows::Reported;
+use super::hollow_processes::HollowReports;
 use super::measure::{ByteLedger, Committed, Times};
-use super::message::{FinalState, InForce, Traffic};
+use super::message::{ByteCounts, FinalState, InForce};
 use super::real::{RealRestart, Ways};
 use super::records::LIMIT_COUNT;
 use super::report::{ChangesByKind, End, Part, PhaseReport, Report, RestartReport, Sizes, TrafficReport};
 use super::scenario::{PhaseKind, Scenario};
 use super::server_loads::ServerLoads;
 use super::servers::{Follower, ReplicaServer, ServerState};
-use super::tap::Heard;
+use super::tap::TapLog;
 use super::timeline::bounds;
 use super::usage::{Role, RoleUsage, Sample};
 use crate::judge;
@@ -56,14 +56,14 @@
     /// At the start of each phase, and at the end of the last.
     pub samples: &'a [Sample],
     /// Readings of real balancers' counters, with the phase that asked for them.
-    pub real_loads: &'a [(usize, Traffic)],
+    pub real_loads: &'a [(usize, ByteCounts)],
     pub replica_servers: &'a [ReplicaServer],
-    pub reported: &'a Reported,
+    pub reported: &'a HollowReports,
     /// What came in force at each real balancer.
     pub real_series: &'a [Vec<InForce>],
     /// Restarts of real balancers, with their phase.
     pub real_restarts: &'a [(usize, RealRestart)],
-    pub real_heard: &'a [Rc<Heard>],
+    pub real_heard: &'a [Rc<TapLog>],
     pub real_bytes: &'a ByteLedger,
     pub ways: &'a Ways,
     /// By name, the origin first; none where a server did not answer.
@@ -79,10 +79,12 @@
     let phases: Vec<PhaseReport> =
         (0..evidence.scenario.phases.len()).map(|number| phase_report(evidence, number)).collect();
     failures.extend(never_in_force(evidence, &phases));
-    failures.extend(evidence.reported.misorders.iter().cloned());
-    if evidence.reported.unreadable > 0 {
-        failures
-            .push(format!("{} reports of hollow processes could not be read", evidence.reported.unreadable));
+    failures.extend(evidence.reported.order_violations.iter().cloned());
+    if evidence.reported.unreadable_lines > 0 {
+        failures.push(format!(
+            "{} reports of hollow processes could not be read",
+            evidence.reported.unreadable_lines
+        ));
     }
     failures.extend(backwards(evidence.real_heard));
     let end = end(evidence, &mut failures);
@@ -236,7 +238,7 @@
     let left = evidence.replica_servers.iter().enumerate();
     let left = left.filter(|(replica, _)| !phase.servers.contains(&(*replica as u32)));
     let left: Vec<ReplicaServer> = left.map(|(_, server)| server.clone()).collect();
-    let readings = evidence.reported.server_loads.iter().chain(evidence.real_loads);
+    let readings = evidence.reported.server_load_readings.iter().chain(evidence.real_loads);
     let readings = readings.filter(|(phase, _)| *phase == number).map(|(_, traffic)| traffic);
     Some(ServerLoads::new(&left, readings, share_bytes_per_second(evidence.scenario)))
 }
@@ -293,8 +295,8 @@
 }
 
 /// Real balancers whose version went down.
-fn backwards(real: &[Rc<Heard>]) -> Vec<String> {
-    let fell = real.iter().enumerate().filter(|(_, heard)| heard.went_back.get());
+fn backwards(real: &[Rc<TapLog>]) -> Vec<String> {
+    let fell = real.iter().enumerate().filter(|(_, heard)| heard.has_regressed.get());
     fell.map(|(balancer, _)| format!("real balancer {balancer} went back to an older version")).collect()
 }
 
@@ -324,7 +326,7 @@
     if different > 0 {
         failures.push(format!("{different} balancers ended with another version or digest than the origin"));
     }
-    let sum = |count: fn(&FinalState) -> u64| evidence.reported.finals.values().map(count).sum();
+    let sum = |count: fn(&FinalState) -> u64| evidence.reported.final_states.values().map(count).sum();
     End {
         version: origin.version.to_string(),
         digest: origin.digest.to_string(),
@@ -340,7 +342,7 @@
 
 /// Its own digest tells; where the last update came without one, its server's word that the digest was right.
 fn hollow_has(evidence: &Evidence, balancer: u32, origin: &ServerState) -> bool {
-    let Some(state) = evidence.reported.finals.get(&balancer) else { return false };
+    let Some(state) = evidence.reported.final_states.get(&balancer) else { return false };
     let follower = evidence.followers.get(&format!("hollow-{balancer}"));
     let confirmed =
         |version: Version| follower.is_some_and(|follower| follower.in_sync && follower.version == version);
@@ -348,7 +350,7 @@
         && state.digest.map_or_else(|| confirmed(state.version), |digest| digest == origin.digest)
 }
 
-fn real_has(heard: &Heard, origin: &ServerState) -> bool {
+fn real_has(heard: &TapLog, origin: &ServerState) -> bool {
     heard
         .in_force()
         .is_some_and(|last| last.version == origin.version && last.digest == origin.digest.to_string())
--- a/crates/pondlb-lab/src/scale/tap.rs
+++ b/crates/pondlb-lab/src/scale/tap.rs
@@ -23,7 +23,7 @@
 
 /// What a balancer tells with a call for changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedState {
     /// When the call was read.
     pub at_us: u64,
     /// What is in force.
@@ -34,51 +34,51 @@
 
 /// What one balancer told and moved, over all of its connections.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct TapLog {
     /// Each state, when it was told first after another one.
-    pub told: RefCell<Vec<Told>>,
+    pub states: RefCell<Vec<ReportedState>>,
     /// The version of the last call. What leads to the digest before is in force without being `told`.
-    pub latest: Cell<Option<Version>>,
+    pub last_call_version: Cell<Option<Version>>,
     /// The server of the last call.
-    pub server: Cell<Option<SocketAddr>>,
+    pub last_server: Cell<Option<SocketAddr>>,
     /// How often the balancer was started again.
-    life: Cell<u32>,
+    restart_count: Cell<u32>,
     /// Where its present life begins in `told`.
-    life_begins: Cell<usize>,
+    current_run_start: Cell<usize>,
     /// It told an older version than before in the same life.
-    pub went_back: Cell<bool>,
+    pub has_regressed: Cell<bool>,
     /// Bytes from control servers to the balancer.
-    pub received: Cell<u64>,
+    pub bytes_received: Cell<u64>,
     /// Bytes from the balancer to control servers.
-    pub sent: Cell<u64>,
+    pub bytes_sent: Cell<u64>,
 }
 
-impl Heard {
+impl TapLog {
     /// The balancer has ended, and the one that is started in its place has nothing in force.
-    pub fn begin_life(&self) {
-        self.life.set(self.life.get() + 1);
-        self.life_begins.set(self.told.borrow().len());
+    pub fn start_new_run(&self) {
+        self.restart_count.set(self.restart_count.get() + 1);
+        self.current_run_start.set(self.states.borrow().len());
     }
 
     /// What the balancer has in force since its last start.
-    pub fn in_force(&self) -> Option<Told> {
-        self.told.borrow().get(self.life_begins.get()..)?.last().cloned()
+    pub fn in_force(&self) -> Option<ReportedState> {
+        self.states.borrow().get(self.current_run_start.get()..)?.last().cloned()
     }
 
     /// Notes what was told on a connection of that life.
-    fn note(&self, life: u32, told: Told) {
-        if life != self.life.get() {
+    fn record_call(&self, life: u32, told: ReportedState) {
+        if life != self.restart_count.get() {
             return;
         }
-        self.latest.set(Some(told.version));
+        self.last_call_version.set(Some(told.version));
         let before = self.in_force();
         // While a snapshot is taken the version is the snapshot's, but the digest is that of what is in force.
         let in_force = before.as_ref().map_or(NOTHING_IN_FORCE, |before| &before.digest);
         if told.digest != in_force {
             if before.is_some_and(|before| told.version < before.version) {
-                self.went_back.set(true);
+                self.has_regressed.set(true);
             }
-            self.told.borrow_mut().push(told);
+            self.states.borrow_mut().push(told);
         }
     }
 }
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// Where no port can be listened on.
-    pub async fn start(listen: IpAddr, server: SocketAddr, heard: Rc<Heard>) -> io::Result<Tap> {
+    pub async fn start(listen: IpAddr, server: SocketAddr, heard: Rc<TapLog>) -> io::Result<Tap> {
         let listener = TcpListener::bind((listen, 0)).await?;
         let address = listener.local_addr()?;
         let task = spawn_local(async move {
@@ -117,9 +117,9 @@
     }
 }
 
-async fn forward(balancer: TcpStream, server: SocketAddr, heard: &Heard) -> io::Result<()> {
+async fn forward(balancer: TcpStream, server: SocketAddr, heard: &TapLog) -> io::Result<()> {
     let server = TcpStream::connect(server).await?;
-    heard.server.set(server.peer_addr().ok());
+    heard.last_server.set(server.peer_addr().ok());
     balancer.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (balancer_read, balancer_write) = balancer.into_split();
@@ -130,20 +130,20 @@
     }
 }
 
-async fn requests(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, heard: &Heard) -> io::Result<()> {
+async fn requests(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, heard: &TapLog) -> io::Result<()> {
     let (mut buffer, mut pending) = (vec![0; BUFFER_BYTES], Vec::new());
-    let life = heard.life.get();
+    let life = heard.restart_count.get();
     loop {
         let count = from.read(&mut buffer).await?;
         if count == 0 {
             return Ok(());
         }
         let at_us = clock::now_us();
-        heard.sent.set(heard.sent.get() + count as u64);
+        heard.bytes_sent.set(heard.bytes_sent.get() + count as u64);
         pending.extend_from_slice(&buffer[..count]);
         while let Some(head) = next_request(&mut pending) {
-            if let Some(told) = told(&head, at_us) {
-                heard.note(life, told);
+            if let Some(told) = parse_changes_call(&head, at_us) {
+                heard.record_call(life, told);
             }
         }
         pending.truncate(MOST_REQUEST_BYTES);
@@ -151,14 +151,14 @@
     }
 }
 
-async fn answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, heard: &Heard) -> io::Result<()> {
+async fn answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, heard: &TapLog) -> io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut buffer).await?;
         if count == 0 {
             return Ok(());
         }
-        heard.received.set(heard.received.get() + count as u64);
+        heard.bytes_received.set(heard.bytes_received.get() + count as u64);
         to.write_all(&buffer[..count]).await?;
     }
 }
@@ -170,7 +170,7 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-fn told(head: &str, at_us: u64) -> Option<Told> {
+fn parse_changes_call(head: &str, at_us: u64) -> Option<ReportedState> {
     let query = head.strip_prefix(CHANGES_CALL)?.split(' ').next()?;
     let value = |name: &str| {
         query
@@ -179,7 +179,7 @@
             .map(|pair| pair.1)
     };
     let version = Version { epoch: value("epoch")?.parse().ok()?, revision: value("from")?.parse().ok()? };
-    Some(Told { at_us, version, digest: value("digest")?.into() })
+    Some(ReportedState { at_us, version, digest: value("digest")?.into() })
 }
 
 #[cfg(test)]
--- a/crates/pondlb-lab/src/scale/timeline.rs
+++ b/crates/pondlb-lab/src/scale/timeline.rs
@@ -9,7 +9,7 @@
 use super::scenario::{Phase, PhaseKind, Scenario};
 
 /// The most records of one commit; an event with more of them makes several commits.
-pub const COMMIT_RECORDS: usize = 400;
+pub const MAX_RECORDS_PER_COMMIT: usize = 400;
 const US_PER_SECOND: f64 = 1e6;
 /// After killed servers are lost, how long followers have to find others before the load of those is counted; a third
 /// of the event where it is short.
@@ -99,7 +99,7 @@
         let count = (phase.seconds * phase.changes_per_second).floor() as u64;
         for change in 0..count {
             let at_us = from + (to - from) * change / count;
-            let record = self.records.draw(&mut self.rng);
+            let record = self.records.draw_record(&mut self.rng);
             if let Some(set) = self.set_anew(record) {
                 self.steps.push(Step { at_us, phase: phase_number, action: Action::Commit(vec![set]) });
             }
@@ -143,12 +143,12 @@
         let records = self.records;
         let unserved = records.unserved_in_zone(0);
         let rack = unserved.iter().rev().take(count.saturating_sub(1) as usize);
-        let mut changes: Vec<NewChange> = rack.filter_map(|record| records.remove(*record)).collect();
+        let mut changes: Vec<NewChange> = rack.filter_map(|record| records.removal_change(*record)).collect();
         let drained = self.next_drained;
         // One served upstream is left at least.
         if drained + 1 < records.served() {
             self.next_drained += 1;
-            changes.extend(records.drain(drained));
+            changes.extend(records.drain_change(drained));
             self.steps.push(Step { at_us, phase, action: Action::Drain(drained, changes) });
         } else {
             self.steps.push(Step { at_us, phase, action: Action::Commit(changes) });
@@ -158,10 +158,11 @@
     fn zone(&mut self, phase: usize, zone: u32, from: u64, back: u64) {
         let records = self.records;
         let zone = records.unserved_in_zone(zone);
-        let removed: Vec<NewChange> = zone.iter().filter_map(|record| records.remove(*record)).collect();
+        let removed: Vec<NewChange> =
+            zone.iter().filter_map(|record| records.removal_change(*record)).collect();
         let returned: Vec<NewChange> = zone.iter().filter_map(|record| self.set_anew(*record)).collect();
         for (at_us, changes) in [(from, removed), (back, returned)] {
-            for commit in changes.chunks(COMMIT_RECORDS) {
+            for commit in changes.chunks(MAX_RECORDS_PER_COMMIT) {
                 self.steps.push(Step { at_us, phase, action: Action::Commit(commit.to_vec()) });
             }
         }
@@ -177,7 +178,7 @@
         };
         let value = self.values.entry(id).or_default();
         *value += 1;
-        self.records.set(record, *value)
+        self.records.update_change(record, *value)
     }
 }
 
--- a/crates/pondlb-lab/src/slopes/control/deployment.rs
+++ b/crates/pondlb-lab/src/slopes/control/deployment.rs
@@ -47,13 +47,13 @@
         counts: RecordCounts,
         snapshot_pieces_per_second: f64,
     ) -> io::Result<Deployment> {
-        let records = Records::unserved(counts);
+        let records = Records::without_served_upstreams(counts);
         let layout = Layout { snapshot_pieces_per_second, ..Layout::local(1) };
-        let servers = ControlServers::start(program, &layout, records.initial()).await?;
-        let [origin, replica] = servers.processes()[..] else {
+        let servers = ControlServers::start(program, &layout, records.initial_changes()).await?;
+        let [origin, replica] = servers.process_ids()[..] else {
             return Err(io::Error::other("a control server ended at once"));
         };
-        let replica_address = servers.by_region().concat().first().copied();
+        let replica_address = servers.replica_addresses_by_region().concat().first().copied();
         let replica_address = replica_address.ok_or(io::ErrorKind::AddrNotAvailable)?;
         let committed = servers.state(0).await?.version;
         Ok(Deployment {
@@ -98,8 +98,8 @@
     /// The origin refuses it.
     pub async fn change(&mut self) -> io::Result<()> {
         self.changes += 1;
-        let record = self.records.draw(&mut self.random);
-        let change = self.records.set(record, self.changes);
+        let record = self.records.draw_record(&mut self.random);
+        let change = self.records.update_change(record, self.changes);
         self.committed = self.servers.commit(change.into_iter().collect()).await?;
         Ok(())
     }
@@ -152,7 +152,7 @@
     /// # Errors
     /// A process has ended, or a follower was handed changes in a wrong order.
     pub fn check(&mut self) -> io::Result<()> {
-        if let Some(ended) = self.servers.ended().into_iter().next() {
+        if let Some(ended) = self.servers.unexpected_exits().into_iter().next() {
             return Err(io::Error::other(ended));
         }
         self.followers.check()
--- a/crates/pondlb-lab/src/slopes/control/follower_group.rs
+++ b/crates/pondlb-lab/src/slopes/control/follower_group.rs
@@ -6,8 +6,8 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::scale::hollows::HollowProcesses;
-use crate::scale::message::{Assignment, FinalState, InForce, Order};
+use crate::scale::hollow_processes::HollowProcesses;
+use crate::scale::message::{Assignment, FinalState, HollowCommand, InForce};
 use crate::slopes::probe::Process;
 
 /// Followers that are added together are spread over so many processes, which share the machine with the server.
@@ -55,7 +55,7 @@
     /// # Errors
     /// The machine has no folder to give.
     pub fn new(server: SocketAddr) -> io::Result<FollowerGroup> {
-        Ok(FollowerGroup { server, processes: HollowProcesses::none()?, count: 0 })
+        Ok(FollowerGroup { server, processes: HollowProcesses::without_processes()?, count: 0 })
     }
 
     /// The server that they follow.
@@ -92,17 +92,17 @@
 
     /// How many have this revision or a later one in force.
     pub fn with_revision(&self, revision: u64) -> usize {
-        self.processes.reported.borrow().with_revision(revision)
+        self.processes.reports.borrow().count_at_revision(revision)
     }
 
     /// How many have a first state in force.
     pub fn started(&self) -> usize {
-        self.processes.reported.borrow().in_force.len()
+        self.processes.reports.borrow().in_force.len()
     }
 
     /// When the last of them had its first state in force, by the machine's clock in microseconds; none where none has.
     pub fn last_start_us(&self) -> Option<u64> {
-        let reported = self.processes.reported.borrow();
+        let reported = self.processes.reports.borrow();
         let first = |series: &Vec<InForce>| series.first().map(|first| first.at_us);
         reported.in_force.values().filter_map(first).max()
     }
@@ -112,7 +112,7 @@
     /// # Errors
     /// One has ended.
     pub fn processor(&self) -> io::Result<Duration> {
-        self.processes.processes().into_iter().map(|id| Ok(Process(id).scheduled()?.ran)).sum()
+        self.processes.process_ids().into_iter().map(|id| Ok(Process(id).scheduled()?.ran)).sum()
     }
 
     /// Asks all followers for their counters as they are now. [`FollowerGroup::counters`] waits for the answers.
@@ -120,8 +120,8 @@
     /// # Errors
     /// A process has ended.
     pub async fn ask_for_counters(&mut self) -> io::Result<()> {
-        self.processes.reported.borrow_mut().finals.clear();
-        self.processes.order(&Order::Tell).await
+        self.processes.reports.borrow_mut().final_states.clear();
+        self.processes.send_command(&HollowCommand::ReportFinalStates).await
     }
 
     /// The counters that were asked for last, summed.
@@ -130,7 +130,7 @@
     /// A process has ended, or gives no answer in time.
     pub async fn counters(&mut self) -> io::Result<FollowerCounters> {
         let until = Instant::now() + COUNTERS_WITHIN;
-        while self.processes.reported.borrow().finals.len() < self.len() {
+        while self.processes.reports.borrow().final_states.len() < self.len() {
             self.check()?;
             if Instant::now() >= until {
                 return Err(io::Error::other(format!(
@@ -139,23 +139,23 @@
             }
             sleep(POLL).await;
         }
-        let reported = self.processes.reported.borrow();
+        let reported = self.processes.reports.borrow();
         let add = |sum: FollowerCounters, state: &FinalState| FollowerCounters {
             calls: sum.calls + state.calls,
             failures: sum.failures + state.failures,
             received: sum.received + state.received,
             sent: sum.sent + state.sent,
         };
-        Ok(reported.finals.values().fold(FollowerCounters::default(), add))
+        Ok(reported.final_states.values().fold(FollowerCounters::default(), add))
     }
 
     /// # Errors
     /// A process has ended, or a follower was handed changes in a wrong order.
     pub fn check(&mut self) -> io::Result<()> {
-        if let Some(ended) = self.processes.ended().into_iter().next() {
+        if let Some(ended) = self.processes.unexpected_exits().into_iter().next() {
             return Err(io::Error::other(ended));
         }
-        match self.processes.reported.borrow().misorders.first() {
+        match self.processes.reports.borrow().order_violations.first() {
             Some(misorder) => Err(io::Error::other(misorder.clone())),
             None => Ok(()),
         }
--- a/crates/pondlb-lab/src/slopes/control/followers.rs
+++ b/crates/pondlb-lab/src/slopes/control/followers.rs
@@ -5,7 +5,7 @@
 use super::deployment::Deployment;
 use super::{phase, scaled_records};
 use crate::balancers::Program;
-use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES;
+use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND;
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
@@ -18,7 +18,7 @@
 /// As of the dimension as a whole.
 pub async fn measure(bench: &Bench, server: &Program) -> io::Result<Vec<Series>> {
     let records = scaled_records(bench, 1);
-    let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES).await?;
+    let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND).await?;
     let mut measured = Vec::new();
     for followers in FOLLOWERS.map(|followers| bench.scaled(followers)) {
         deployment.grow_followers(followers).await?;
--- a/crates/pondlb-lab/src/slopes/control/records.rs
+++ b/crates/pondlb-lab/src/slopes/control/records.rs
@@ -8,7 +8,7 @@
 use crate::balancers::Program;
 use crate::scale::clock;
 use crate::scale::records::RecordCounts;
-use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES;
+use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND;
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
@@ -38,14 +38,14 @@
     let followers = bench.scaled(FOLLOWERS).max(2);
     let mut measured = Vec::new();
     for records in DIVISORS.map(|divisor| scaled_records(bench, divisor)) {
-        measured.push((records.sum(), at(server, records, followers).await?));
+        measured.push((records.total(), at(server, records, followers).await?));
     }
     Ok(all_series(followers, &measured))
 }
 
 /// Starts one follower by itself, and then the others. Nothing changes meanwhile.
 async fn at(server: &Program, records: RecordCounts, followers: usize) -> io::Result<At> {
-    let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES).await?;
+    let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND).await?;
     let (alone, origin) = (deployment.replica_sample()?, deployment.origin_sample()?);
     let begun_us = clock::now_us();
     deployment.grow_followers(1).await?;
--- a/crates/pondlb-lab/src/slopes/control/starts.rs
+++ b/crates/pondlb-lab/src/slopes/control/starts.rs
@@ -11,7 +11,7 @@
 use super::scaled_records;
 use crate::balancers::Program;
 use crate::scale::clock;
-use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES;
+use crate::scale::servers::UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND;
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
@@ -19,7 +19,7 @@
 /// As a control server has it where its options say nothing.
 const DEFAULT_SNAPSHOT_PIECES: f64 = 1000.0;
 const LIMITS: [(f64, &str); 2] =
-    [(DEFAULT_SNAPSHOT_PIECES, "1000 pieces a second"), (UNBOUNDED_SNAPSHOT_PIECES, "no limit")];
+    [(DEFAULT_SNAPSHOT_PIECES, "1000 pieces a second"), (UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND, "no limit")];
 /// Each change makes the server write anew what all callers had shared.
 const BETWEEN_CHANGES: Duration = Duration::from_millis(500);
 const STARTED_WITHIN: Duration = Duration::from_secs(90);
--- a/crates/pondlb-lab/src/slopes/distribution/pair.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/pair.rs
@@ -10,8 +10,8 @@
 
 use super::phase::{Phase, Side};
 use crate::scale::servers::{ControlServers, Layout};
-use crate::scale::tap::{Heard, Tap};
-use crate::scale::timeline::COMMIT_RECORDS;
+use crate::scale::tap::{Tap, TapLog};
+use crate::scale::timeline::MAX_RECORDS_PER_COMMIT;
 use crate::slopes::Options;
 use crate::slopes::bench::Bench;
 use crate::slopes::configuration::{First, Size, class, class_name, configuration, following};
@@ -51,7 +51,7 @@
     servers: ControlServers,
     origin: Process,
     committed: Version,
-    heard: Rc<Heard>,
+    heard: Rc<TapLog>,
     _tap: Tap,
     /// The balancer that is told by discovery.
     pub before: Running,
@@ -73,11 +73,11 @@
         initial.push(record(RecordKind::Class, &class_name(0), to_raw_value(&class(0))?)?);
         let layout = Layout::local(0);
         let servers = ControlServers::start(&options.control_server, &layout, initial).await?;
-        let origin = servers.processes().first().copied().map(Process);
+        let origin = servers.process_ids().first().copied().map(Process);
         let origin = origin.ok_or_else(|| io::Error::other("the origin ended at once"))?;
         let committed = servers.state(0).await?.version;
-        let heard = Rc::new(Heard::default());
-        let tap = Tap::start(layout.listen, servers.origin(), heard.clone()).await?;
+        let heard = Rc::new(TapLog::default());
+        let tap = Tap::start(layout.listen, servers.origin_address(), heard.clone()).await?;
         let size = Size::of_upstreams(upstreams);
         let known = |number, listen| configuration(number, listen, &discovery, size, First::Known);
         let before = ready(bench.start_program(&options.before, known).await?)?;
@@ -153,7 +153,7 @@
             after: self.after.process.scheduled()?,
             origin: self.origin.scheduled()?,
             before_bytes: traffic.sent + traffic.received,
-            after_bytes: self.heard.sent.get() + self.heard.received.get(),
+            after_bytes: self.heard.bytes_sent.get() + self.heard.bytes_received.get(),
         })
     }
 
@@ -187,7 +187,7 @@
     async fn toggle(&mut self, entries: &[usize]) -> io::Result<()> {
         self.discovery.push_changes(entries.iter().copied());
         let records = records(&self.discovery, entries.iter().copied())?;
-        for commit in records.chunks(COMMIT_RECORDS) {
+        for commit in records.chunks(MAX_RECORDS_PER_COMMIT) {
             self.committed = self.servers.commit(commit.to_vec()).await?;
         }
         Ok(())
@@ -198,7 +198,7 @@
         let until = Instant::now() + HEARD_WITHIN;
         loop {
             let before = self.discovery.heard() >= self.discovery.version();
-            let after = self.heard.latest.get().is_some_and(|version| version >= self.committed);
+            let after = self.heard.last_call_version.get().is_some_and(|version| version >= self.committed);
             if (before && after) || Instant::now() >= until {
                 return (before, after);
             }
