--- a/crates/pondlb-lab/src/scale/hollow_processes.rs
+++ b/crates/pondlb-lab/src/scale/hollow_processes.rs
@@ -16,8 +16,9 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 use super::measure::ByteLedger;
-use super::message::{Assignment, ByteCounts, FinalState, HollowCommand, HollowReport, InForce};
+use super::message::{Assignment, FinalState, HollowCommand, HollowReport, InForce};
 use super::scenario::Scenario;
+use super::server_loads::ServerLoadReading;
 use crate::holding::held;
 
 /// The sub-command of the laboratory's program that runs a hollow process.
@@ -30,8 +31,8 @@
     pub in_force: BTreeMap<u32, Vec<InForce>>,
     /// The byte counters of the balancers over time.
     pub bytes: ByteLedger,
-    /// Readings of byte counters for [`ServerLoads`](super::server_loads::ServerLoads), with the number of their phase.
-    pub server_load_readings: Vec<(usize, ByteCounts)>,
+    /// Readings of byte counters for [`ServerLoads`](super::server_loads::ServerLoads).
+    pub server_load_readings: Vec<ServerLoadReading>,
     /// Updates with a version or revision that did not increase.
     pub order_violations: Vec<String>,
     /// The final state of each balancer.
@@ -49,7 +50,9 @@
                 }
             }
             HollowReport::ByteCounts(counts) => self.bytes.record(&counts),
-            HollowReport::ServerLoads(phase, counts) => self.server_load_readings.push((phase, counts)),
+            HollowReport::ServerLoads(phase, counts) => {
+                self.server_load_readings.push(ServerLoadReading { phase, counts });
+            }
             HollowReport::OrderViolation { balancer, what } => {
                 self.order_violations.push(format!("hollow balancer {balancer}: {what}"));
             }
--- a/crates/pondlb-lab/src/scale/real.rs
+++ b/crates/pondlb-lab/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! The real balancers of a run: their configuration, their traffic, and what is judged of it.
+//! The real balancers of a run: their configuration, their traffic, and the ledgers of it for the judge.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -19,66 +19,73 @@
 use crate::ledger::{Asked, Ledgers, Told};
 use crate::scenario::{self as traffic, Class, Effect, Machine, Rules};
 
-/// Memory that a real balancer may use: the list is longer than that of a common deployment.
+/// The memory limit of a real balancer in MB. The list of upstreams is longer than in a common deployment.
 const BALANCER_MEMORY_MB: u32 = 1024;
-/// A real balancer serves once it has the whole list.
+/// How long a real balancer may take to become ready, which it is once it has the whole list of upstreams.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// What a balancer logs of a record that its settings do not allow. Its digest is right all the same.
+/// Part of the line that a balancer logs when its settings do not allow the value of a record. Its digest is right even
+/// so, because it holds the record without applying it.
 const RECORD_NOT_APPLIED_LOG_TEXT: &str = "it stays as it was";
+/// The limit of sockets of a real balancer.
 const BALANCER_SOCKETS: u32 = 2048;
-/// The part of the requests that may run once only.
+/// The fraction of the requests that are not idempotent, and so must not run twice.
 const NON_IDEMPOTENT_SHARE: f64 = 0.25;
-/// Draws other arrivals for the direct way.
+/// Combined with the scenario's seed, so that direct traffic has other arrival times than balanced traffic.
 const DIRECT_SEED_MASK: u64 = 0x5ca1_ab1e;
-/// Requests that may wait at an upstream, and connections to it.
+/// The number of requests that may wait at an upstream.
 const MAX_WAITING_REQUESTS: usize = 64;
+/// The number of connections that an upstream accepts.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// Real balancers, each behind taps of its own. They end with it.
+/// The real balancers. Each reaches its control servers through [`Tap`]s of its own. The processes are killed when this is
+/// dropped.
 pub struct RealBalancers {
-    /// Their processes.
+    /// The processes.
     pub balancers: Balancers,
-    /// What each told its control servers.
+    /// What the taps of each balancer have recorded.
     pub tap_logs: Vec<Rc<TapLog>>,
     _taps: Vec<Tap>,
 }
 
-/// A real balancer's restart in a release.
+/// The restart of a real balancer in a release.
 #[derive(Clone, Copy, Debug)]
 pub struct RealRestart {
-    /// Which balancer.
+    /// The number of the phase of the release.
+    pub phase: usize,
+    /// The number of the balancer.
     pub balancer: u32,
-    /// When it was started again, by the machine's clock.
+    /// When the new process was started, by the monotonic clock in microseconds.
     pub started_at_us: u64,
-    /// How long its end and its start took.
+    /// How long the stop and the start took.
     pub durations: Restart,
 }
 
 impl RealBalancers {
-    /// Starts them, and waits until each serves.
+    /// Starts all real balancers and waits until each is ready. `servers` are the control servers of each region.
     ///
     /// # Errors
-    /// Where the program is missing, ends, or is not ready in time.
+    /// The program is missing, or a balancer exits or is not ready in time.
     pub async fn start(
         program: &Program,
         scenario: &Scenario,
         fleet: &Fleet,
         servers: &[Vec<SocketAddr>],
     ) -> io::Result<RealBalancers> {
-        let (mut heard, mut taps, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut tap_logs, mut taps, mut tap_addresses) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..scenario.real_balancers as usize {
-            let mine = Rc::new(TapLog::default());
-            let mut tapped = Vec::new();
+            let log = Rc::new(TapLog::default());
+            let mut addresses = Vec::new();
             for server in &servers[number % servers.len().max(1)] {
-                let tap = Tap::start(scenario.listen, *server, mine.clone()).await?;
-                tapped.push(tap.address.to_string());
+                let tap = Tap::start(scenario.listen, *server, log.clone()).await?;
+                addresses.push(tap.address.to_string());
                 taps.push(tap);
             }
-            heard.push(mine);
-            addresses.push(tapped);
+            tap_logs.push(log);
+            tap_addresses.push(addresses);
         }
         let adjust = |number: u32, config: &mut Value| {
-            config["control"] = json!({ "servers": addresses[number as usize], "hold_ms": scenario.hold_ms });
+            config["control"] =
+                json!({ "servers": tap_addresses[number as usize], "hold_ms": scenario.hold_ms });
             config["known"] = json!({ "rev": 0, "all": true, "targets": [] });
             config["limits"] = json!({ "memory_mb": BALANCER_MEMORY_MB, "sockets": BALANCER_SOCKETS });
             let zones = (0..scenario.zone_count()).map(|zone| zone_name(zone, scenario.zones_per_region));
@@ -90,93 +97,101 @@
         };
         let balancers =
             Balancers::start(program, &balanced_traffic(scenario), fleet, READY_TIMEOUT, adjust).await?;
-        Ok(RealBalancers { balancers, tap_logs: heard, _taps: taps })
+        Ok(RealBalancers { balancers, tap_logs, _taps: taps })
     }
 
-    /// What came in force at each of them, in the order of its times.
+    /// The versions that came in force at each balancer, in the order of time.
     pub fn in_force_series(&self) -> Vec<Vec<InForce>> {
-        let series = |(number, heard): (usize, &Rc<TapLog>)| {
+        let series = |(number, log): (usize, &Rc<TapLog>)| {
             let balancer = number as u32;
-            let told = heard.states.borrow();
-            let news = told.iter();
-            news.map(|told| InForce { balancer, revision: told.version.revision, at_us: told.at_us })
-                .collect()
+            let states = log.states.borrow();
+            let in_force = states.iter().map(|state| InForce {
+                balancer,
+                revision: state.version.revision,
+                at_us: state.at_us,
+            });
+            in_force.collect()
         };
         self.tap_logs.iter().enumerate().map(series).collect()
     }
 
-    /// Ends a balancer by SIGTERM and starts it again; returns once it serves.
+    /// Stops a balancer with SIGTERM, starts it again and waits until it is ready.
     ///
     /// # Errors
-    /// Where it does not end, or does not serve again.
-    pub async fn restart(&self, number: usize) -> io::Result<RealRestart> {
-        let mut started_us = 0;
-        let ended = || {
+    /// The balancer does not exit, or does not become ready again, in time.
+    async fn restart(&self, phase: usize, number: usize) -> io::Result<RealRestart> {
+        let mut started_at_us = 0;
+        let on_exit = || {
             self.tap_logs[number].start_new_run();
-            started_us = clock::now_us();
+            started_at_us = clock::now_us();
         };
-        let took = self.balancers.restart(number, READY_TIMEOUT, ended).await?;
-        Ok(RealRestart { balancer: number as u32, started_at_us: started_us, durations: took })
+        let durations = self.balancers.restart(number, READY_TIMEOUT, on_exit).await?;
+        Ok(RealRestart { phase, balancer: number as u32, started_at_us, durations })
     }
 
-    /// Restarts all of them, one after the other; each at its turn or once the one before serves, which is later.
-    pub async fn rolling_restart(&self, turns: Vec<Instant>) -> Vec<io::Result<RealRestart>> {
+    /// Restarts all balancers one after the other, for the release of this phase. Each restart begins at its start time, or
+    /// once the balancer before is ready if that is later.
+    pub async fn rolling_restart(
+        &self,
+        phase: usize,
+        start_times: Vec<Instant>,
+    ) -> Vec<io::Result<RealRestart>> {
         let mut restarts = Vec::new();
-        for (number, turn) in turns.into_iter().enumerate() {
-            sleep_until(turn).await;
-            restarts.push(self.restart(number).await);
+        for (number, start_time) in start_times.into_iter().enumerate() {
+            sleep_until(start_time).await;
+            restarts.push(self.restart(phase, number).await);
         }
         restarts
     }
 
-    /// Records that balancers hold and could not put in force, by their logs.
+    /// A message for each balancer whose log shows that it could not put a record in force.
     pub fn records_not_applied(&self) -> Vec<String> {
-        let refusal = |number: usize| {
+        let message = |number: usize| {
             let log = self.balancers.log(number);
             let line = log.lines().find(|line| line.contains(RECORD_NOT_APPLIED_LOG_TEXT))?;
             Some(format!("real balancer {number} did not put a record in force: {line}"))
         };
-        (0..self.tap_logs.len()).filter_map(refusal).collect()
+        (0..self.tap_logs.len()).filter_map(message).collect()
     }
 
-    /// How many have this revision or a later one in force.
+    /// The number of balancers that have this revision or a later one in force.
     pub fn count_at_revision(&self, revision: u64) -> usize {
-        let has =
-            |heard: &&Rc<TapLog>| heard.in_force().is_some_and(|told| told.version.revision >= revision);
-        self.tap_logs.iter().filter(has).count()
+        let has_revision =
+            |log: &&Rc<TapLog>| log.in_force().is_some_and(|state| state.version.revision >= revision);
+        self.tap_logs.iter().filter(has_revision).count()
     }
 }
 
-/// The traffic to the real balancers. They share the served upstreams among each other only: hollow balancers send
-/// nothing.
+/// The traffic through the real balancers. Only they send requests to the served upstreams; hollow balancers send none.
 pub fn balanced_traffic(scenario: &Scenario) -> traffic::Scenario {
     let rate = scenario.traffic.rate_each * f64::from(scenario.real_balancers);
     traffic_scenario(scenario, scenario.seed, scenario.real_balancers, rate)
 }
 
-/// The traffic straight to the served upstreams, beside the other: each of them takes the place of a balancer.
+/// The traffic that goes directly to the served upstreams at the same time, for comparison. In its scenario each served
+/// upstream takes the place of a balancer.
 pub fn direct_traffic(scenario: &Scenario) -> traffic::Scenario {
     let served = scenario.traffic.served_upstreams;
     traffic_scenario(scenario, scenario.seed ^ DIRECT_SEED_MASK, served, scenario.traffic.direct_rate)
 }
 
-fn traffic_scenario(scenario: &Scenario, seed: u64, doors: u32, rate: f64) -> traffic::Scenario {
-    let figures = &scenario.traffic;
-    let scheme = |name: &str, effect, rate| Class {
+fn traffic_scenario(scenario: &Scenario, seed: u64, targets: u32, rate: f64) -> traffic::Scenario {
+    let options = &scenario.traffic;
+    let class = |name: &str, effect, rate| Class {
         name: name.into(),
         effect,
-        sla_ms: figures.sla_ms,
-        deadline_ms: figures.expiry_ms,
+        sla_ms: options.sla_ms,
+        deadline_ms: options.expiry_ms,
         value: 1.0,
         rate,
-        work_ms: figures.work_ms,
+        work_ms: options.work_ms,
         heavy: 0.0,
     };
     let machine = Machine {
-        count: figures.served_upstreams,
+        count: options.served_upstreams,
         zone: "a".into(),
         group: 0,
-        cores: figures.cores,
+        cores: options.cores,
         speed: 1.0,
         waiting: MAX_WAITING_REQUESTS,
         connections: MAX_CONNECTIONS,
@@ -185,50 +200,52 @@
     traffic::Scenario {
         seed,
         seconds: scenario.total_seconds(),
-        balancers: doors,
+        balancers: targets,
         asking: Vec::new(),
         least_in_time: 0.0,
         rules: Rules::default(),
         upstreams: vec![machine],
         classes: vec![
-            scheme(TRAFFIC_CLASSES[0], Effect::Idempotent, rate * (1.0 - NON_IDEMPOTENT_SHARE)),
-            scheme(TRAFFIC_CLASSES[1], Effect::NonIdempotent, rate * NON_IDEMPOTENT_SHARE),
+            class(TRAFFIC_CLASSES[0], Effect::Idempotent, rate * (1.0 - NON_IDEMPOTENT_SHARE)),
+            class(TRAFFIC_CLASSES[1], Effect::NonIdempotent, rate * NON_IDEMPOTENT_SHARE),
         ],
         faults: Vec::new(),
         bursts: Vec::new(),
     }
 }
 
-/// Ledgers of the two ways.
+/// The ledgers of both kinds of traffic.
 pub struct TrafficLedgers {
-    /// What went through balancers, with all that the judge needs.
+    /// The requests through balancers, with everything that the judge needs.
     pub balanced: Ledgers,
-    /// What went straight to the upstreams.
+    /// The requests that went directly to the upstreams.
     pub direct: Vec<Asked>,
 }
 
-/// Takes the ledgers of both ways apart. All balancers know an upstream by the same address, so that whose a posting
-/// is follows from its request.
+/// Separates the ledgers of both kinds of traffic. An upstream can't tell the balancers apart, because all of them use
+/// the same address of it, so the balancer of an upstream's run is taken from the request with the same id.
 pub fn split_ledgers(mut ledgers: Ledgers, direct_ids: &HashSet<String>) -> TrafficLedgers {
     let (direct, asked) = ledgers.asked.drain(..).partition(|asked| direct_ids.contains(&asked.id));
     ledgers.asked = asked;
     ledgers.runs.retain(|run| !direct_ids.contains(&run.id));
-    let askers: HashMap<&str, u32> = ledgers.asked.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
+    let balancers_by_id: HashMap<&str, u32> =
+        ledgers.asked.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
     for run in &mut ledgers.runs {
-        run.balancer = askers.get(&*run.id).copied().unwrap_or(run.balancer);
+        run.balancer = balancers_by_id.get(&*run.id).copied().unwrap_or(run.balancer);
     }
     TrafficLedgers { balanced: ledgers, direct }
 }
 
-/// When each balancer had a drain in force: its later versions hold it too.
+/// For each balancer, when the drain of an upstream came in force there: at the first version with the revision of the
+/// drain or a later one. `to_book` converts a time of the monotonic clock to the time of the ledgers.
 pub fn drain_notices(
     series: &[Vec<InForce>],
     upstream: u32,
     revision: u64,
     to_book: impl Fn(u64) -> u64,
 ) -> Vec<Told> {
-    let told = |(balancer, news): (usize, &Vec<InForce>)| {
-        let first = news.iter().find(|news| news.revision >= revision)?;
+    let notice = |(balancer, series): (usize, &Vec<InForce>)| {
+        let first = series.iter().find(|in_force| in_force.revision >= revision)?;
         Some(Told {
             balancer: balancer as u32,
             upstream: upstream as usize,
@@ -236,16 +253,16 @@
             at: to_book(first.at_us),
         })
     };
-    series.iter().enumerate().filter_map(told).collect()
+    series.iter().enumerate().filter_map(notice).collect()
 }
 
-/// The bytes that these have moved so far, read now.
-pub fn read_byte_counts(heard: &[Rc<TapLog>]) -> ByteCounts {
-    let bytes = |(number, heard): (usize, &Rc<TapLog>)| BalancerBytes {
+/// Reads the byte counters of these taps now.
+pub fn read_byte_counts(tap_logs: &[Rc<TapLog>]) -> ByteCounts {
+    let bytes = |(number, log): (usize, &Rc<TapLog>)| BalancerBytes {
         balancer: number as u32,
-        received: heard.bytes_received.get(),
-        sent: heard.bytes_sent.get(),
-        server: heard.last_server.get(),
+        received: log.bytes_received.get(),
+        sent: log.bytes_sent.get(),
+        server: log.last_server.get(),
     };
-    ByteCounts { at_us: clock::now_us(), balancers: heard.iter().enumerate().map(bytes).collect() }
+    ByteCounts { at_us: clock::now_us(), balancers: tap_logs.iter().enumerate().map(bytes).collect() }
 }
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! A scale run from its start to its report.
+//! A scale run: starts all processes, plays the timeline with the traffic, waits for convergence and collects the data for
+//! the report.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashSet};
@@ -13,14 +14,15 @@
 use super::clock;
 use super::hollow_processes::HollowProcesses;
 use super::measure::{ByteLedger, Commit, WINDOW_SECONDS};
-use super::message::{ByteCounts, HollowCommand};
+use super::message::HollowCommand;
 use super::real::{
-    RealBalancers, RealRestart, balanced_traffic, direct_traffic, drain_notices, split_ledgers,
+    self, RealBalancers, RealRestart, balanced_traffic, direct_traffic, drain_notices, split_ledgers,
 };
 use super::records::Records;
 use super::report::{ChangesByKind, Report};
 use super::scenario::Scenario;
-use super::servers::{ControlServers, Follower, ServerState};
+use super::server_loads::ServerLoadReading;
+use super::servers::{ControlServers, FinalServerState, Follower};
 use super::summary::{RunData, summarize};
 use super::timeline::{self, Action, Step};
 use super::usage::{Role, Sample};
@@ -29,66 +31,84 @@
 use crate::ledger::Crash;
 use crate::load::{self, Door, Failover};
 
-/// Between the moment when all is ready and the first step.
+/// The delay from the moment when all processes are ready to the start of the first phase, in microseconds.
 const START_DELAY_US: u64 = 200_000;
 const FIRST_STATE_TIMEOUT: Duration = Duration::from_secs(150);
 const FINAL_STATES_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is started.
+/// The programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The control server.
+    /// The program of control servers.
     pub server: Program,
-    /// The real balancer.
+    /// The program of real balancers.
     pub balancer: Program,
-    /// Arguments for hollow processes.
+    /// Additional arguments for hollow processes, which run the laboratory's own program.
     pub hollow_arguments: Vec<String>,
 }
 
-/// Plays the scenario. All that is started ends with it.
+/// Plays the scenario and returns its report. All processes that it starts are killed before it returns.
 ///
 /// # Errors
-/// Where it could not be played at all.
+/// A process can't be started or reached, or not all balancers have the initial state in time. Failures after that are
+/// part of the report.
 pub async fn run_scenario(programs: &Programs, scenario: Scenario) -> io::Result<Report> {
     let mut run = Run::start(programs, scenario).await?;
-    let started = run.wait_for_first_state().await?;
+    let start_duration = run.wait_for_first_state().await?;
     run.play_phases().await?;
     let restarts = run.finish_rolling_restarts().await;
-    let settled = run.wait_for_convergence().await;
-    run.finish(started, settled, &restarts).await
+    let convergence_duration = run.wait_for_convergence().await;
+    run.finish(start_duration, convergence_duration, &restarts).await
 }
 
 struct Run {
     scenario: Scenario,
+    /// The ledgers of the traffic, with their own clock in microseconds.
     book: Rc<Book>,
-    /// The machine's clock at the start of the book's.
+    /// The start of the book's clock, by the monotonic clock in microseconds.
     book_start_us: u64,
-    /// Kept up for as long as the run lasts.
+    /// The emulated upstreams. They end when this is dropped.
     fleet: Fleet,
     steps: Vec<Step>,
     servers: ControlServers,
     hollow: HollowProcesses,
     real: Rc<RealBalancers>,
-    /// Restarts of real balancers that go on, with their phase.
-    rolling_restarts: Vec<(usize, JoinHandle<Vec<io::Result<RealRestart>>>)>,
+    /// The tasks of rolling restarts of real balancers.
+    rolling_restarts: Vec<JoinHandle<Vec<io::Result<RealRestart>>>>,
+    /// The byte counters of real balancers over time.
     real_bytes: Rc<RefCell<ByteLedger>>,
+    /// Reads the byte counters of real balancers once in each measurement window.
     real_bytes_task: JoinHandle<()>,
-    /// The start of the first phase, by the book's clock.
+    /// The start of the first phase, by the book's clock in microseconds.
     phases_start_book_us: u64,
+    /// The revision of the initial state.
     first_revision: u64,
+    /// All commits that the origin accepted, in the order of their revisions.
     commits: Vec<Commit>,
     changes_by_kind: ChangesByKind,
-    /// Revisions of drains of served upstreams.
-    served_drains: Vec<(u32, u64)>,
+    /// The drains of served upstreams that were committed.
+    served_drains: Vec<ServedDrain>,
+    /// The usage of all processes at the start of each phase and at the end of the last.
     usage_samples: Vec<Sample>,
-    /// Readings of real balancers' counters, with the phase that asked for them.
-    real_server_load_readings: Vec<(usize, ByteCounts)>,
+    /// Readings of the byte counters of real balancers while replica servers are killed.
+    real_server_load_readings: Vec<ServerLoadReading>,
+    /// The largest delay of a step after its time in the timeline, in microseconds.
     latest_step_us: u64,
+    /// What went wrong so far, for the report.
     failures: Vec<String>,
+    /// The ids of the requests that go directly to upstreams.
     direct_ids: HashSet<String>,
 }
 
+/// A committed drain of a served upstream.
+struct ServedDrain {
+    /// The number of the upstream.
+    upstream: u32,
+    /// The last revision of the commit.
+    revision: u64,
+}
+
 impl Run {
     async fn start(programs: &Programs, scenario: Scenario) -> io::Result<Run> {
         let book = Book::open();
@@ -100,16 +120,17 @@
         let servers =
             ControlServers::start(&programs.server, &scenario.layout(), records.initial_changes()).await?;
         let first_revision = servers.state(0).await?.version.revision;
-        let by_region = servers.replica_addresses_by_region();
-        // Before the others: the snapshots of many make the machine busy.
-        let real = RealBalancers::start(&programs.balancer, &scenario, &fleet, &by_region).await?;
-        let hollow = HollowProcesses::start(&scenario, &by_region, &programs.hollow_arguments)?;
+        let replica_addresses = servers.replica_addresses_by_region();
+        // Real balancers start before the hollow ones, whose many first snapshots make the machine busy.
+        let real_balancers =
+            RealBalancers::start(&programs.balancer, &scenario, &fleet, &replica_addresses).await?;
+        let hollow = HollowProcesses::start(&scenario, &replica_addresses, &programs.hollow_arguments)?;
         let real_bytes = Rc::new(RefCell::new(ByteLedger::default()));
-        let heard = real.tap_logs.clone();
+        let tap_logs = real_balancers.tap_logs.clone();
         let ledger = real_bytes.clone();
         let real_bytes_task = spawn_local(async move {
             loop {
-                ledger.borrow_mut().record(&super::real::read_byte_counts(&heard));
+                ledger.borrow_mut().record(&real::read_byte_counts(&tap_logs));
                 let window_us = WINDOW_SECONDS * 1_000_000;
                 sleep(Duration::from_micros(window_us - clock::now_us() % window_us)).await;
             }
@@ -122,7 +143,7 @@
             steps,
             servers,
             hollow,
-            real: Rc::new(real),
+            real: Rc::new(real_balancers),
             rolling_restarts: Vec::new(),
             real_bytes,
             real_bytes_task,
@@ -139,10 +160,12 @@
         })
     }
 
+    /// The number of balancers, real and hollow, that have this revision or a later one in force.
     fn count_at_revision(&self, revision: u64) -> usize {
         self.hollow.reports.borrow().count_at_revision(revision) + self.real.count_at_revision(revision)
     }
 
+    /// Waits until all balancers have the initial state in force, and returns how long that took.
     async fn wait_for_first_state(&mut self) -> io::Result<Duration> {
         let began = Instant::now();
         let all = self.scenario.balancers as usize;
@@ -151,37 +174,49 @@
             if ready == all {
                 return Ok(began.elapsed());
             }
-            if let Some(ended) =
+            if let Some(exit_message) =
                 self.hollow.unexpected_exits().into_iter().chain(self.servers.unexpected_exits()).next()
             {
-                return Err(io::Error::other(ended));
+                return Err(io::Error::other(exit_message));
             }
             if began.elapsed() > FIRST_STATE_TIMEOUT {
-                let told =
-                    format!("{ready} of {all} balancers had the first state within {FIRST_STATE_TIMEOUT:?}");
-                return Err(io::Error::other(told));
+                let message = format!(
+                    "{ready} of {all} balancers had the initial state within {FIRST_STATE_TIMEOUT:?}"
+                );
+                return Err(io::Error::other(message));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Plays the time line while the traffic goes both ways.
+    /// Plays the timeline while traffic goes through the real balancers and directly to the upstreams.
     async fn play_phases(&mut self) -> io::Result<()> {
         self.phases_start_book_us = self.book.now() + START_DELAY_US;
-        let (book, from) = (self.book.clone(), self.phases_start_book_us);
-        let through = Rc::new(balanced_traffic(&self.scenario));
-        let beside = Rc::new(direct_traffic(&self.scenario));
-        let doors: Vec<_> = self.real.balancers.addresses.iter().map(|address| Door::new(*address)).collect();
-        let straight: Vec<_> =
+        let (book, start_us) = (self.book.clone(), self.phases_start_book_us);
+        let balanced_scenario = Rc::new(balanced_traffic(&self.scenario));
+        let direct_scenario = Rc::new(direct_traffic(&self.scenario));
+        let balancer_targets: Vec<_> =
+            self.real.balancers.addresses.iter().map(|address| Door::new(*address)).collect();
+        let upstream_targets: Vec<_> =
             self.fleet.upstreams.iter().map(|upstream| Door::new(upstream.address_of(0))).collect();
-        let direct_plan = beside.plan();
+        let direct_plan = direct_scenario.plan();
         self.direct_ids = direct_plan.iter().map(|planned| planned.id.clone()).collect();
-        let balanced = load::follow(&through, through.plan(), &doors, Failover::NextBalancer, &book, from);
-        let direct = load::follow(&beside, direct_plan, &straight, Failover::Never, &book, from);
-        let (played, (), ()) = tokio::join!(self.play_steps(), balanced, direct);
-        played
+        let balanced_plan = balanced_scenario.plan();
+        let balanced_load = load::follow(
+            &balanced_scenario,
+            balanced_plan,
+            &balancer_targets,
+            Failover::NextBalancer,
+            &book,
+            start_us,
+        );
+        let direct_load =
+            load::follow(&direct_scenario, direct_plan, &upstream_targets, Failover::Never, &book, start_us);
+        let (result, (), ()) = tokio::join!(self.play_steps(), balanced_load, direct_load);
+        result
     }
 
+    /// Executes the steps of each phase at their times.
     async fn play_steps(&mut self) -> io::Result<()> {
         let mut steps = std::mem::take(&mut self.steps).into_iter().peekable();
         let bounds = timeline::phase_bounds_us(&self.scenario.phases);
@@ -207,7 +242,8 @@
             Action::Commit(changes) => self.commit(step.phase, changes).await,
             Action::Drain { upstream, changes } => {
                 self.commit(step.phase, changes).await;
-                self.served_drains.extend(self.commits.last().map(|commit| (upstream, commit.last_revision)));
+                let drain = |commit: &Commit| ServedDrain { upstream, revision: commit.last_revision };
+                self.served_drains.extend(self.commits.last().map(drain));
             }
             Action::RestartHollowGroup(group) => {
                 self.hollow.send_command(&HollowCommand::Restart(group)).await?
@@ -224,21 +260,23 @@
         Ok(())
     }
 
+    /// Starts a task that restarts the real balancers one after the other, beginning now.
     fn start_rolling_restart(&mut self, phase: usize, interval_us: u64) {
         let first = Instant::now();
-        let turn = |number| first + Duration::from_micros(interval_us * u64::from(number));
-        let turns = (0..self.scenario.real_balancers).map(turn).collect();
+        let start_time = |number| first + Duration::from_micros(interval_us * u64::from(number));
+        let start_times = (0..self.scenario.real_balancers).map(start_time).collect();
         let real = self.real.clone();
-        self.rolling_restarts.push((phase, spawn_local(async move { real.rolling_restart(turns).await })));
+        let task = spawn_local(async move { real.rolling_restart(phase, start_times).await });
+        self.rolling_restarts.push(task);
     }
 
-    /// Waits for the restarts that go on; by their phase.
-    async fn finish_rolling_restarts(&mut self) -> Vec<(usize, RealRestart)> {
+    /// Waits for the end of all rolling restarts, and returns the restarts that succeeded.
+    async fn finish_rolling_restarts(&mut self) -> Vec<RealRestart> {
         let mut restarts = Vec::new();
-        for (phase, release) in std::mem::take(&mut self.rolling_restarts) {
-            for restart in release.await.unwrap_or_default() {
+        for rolling_restart in std::mem::take(&mut self.rolling_restarts) {
+            for restart in rolling_restart.await.unwrap_or_default() {
                 match restart {
-                    Ok(restart) => restarts.push((phase, restart)),
+                    Ok(restart) => restarts.push(restart),
                     Err(error) => self.failures.push(format!("release: {error}")),
                 }
             }
@@ -246,30 +284,33 @@
         restarts
     }
 
-    /// Reads the counters of real balancers, and asks hollow processes for theirs.
+    /// Reads the byte counters of the real balancers, and asks the hollow processes for theirs.
     async fn read_server_loads(&mut self, phase: usize) -> io::Result<()> {
-        self.real_server_load_readings.push((phase, super::real::read_byte_counts(&self.real.tap_logs)));
+        let counts = real::read_byte_counts(&self.real.tap_logs);
+        self.real_server_load_readings.push(ServerLoadReading { phase, counts });
         self.hollow.send_command(&HollowCommand::CountServerLoads(phase)).await
     }
 
+    /// Commits changes at the origin. A failure goes to the report.
     async fn commit(&mut self, phase: usize, changes: Vec<pondlb_control::NewChange>) {
-        let (at_us, count) = (clock::now_us(), changes.len() as u64);
+        let (requested_at_us, count) = (clock::now_us(), changes.len() as u64);
         let kinds: Vec<RecordKind> = changes.iter().map(|change| change.key.kind()).collect();
         match self.servers.commit(changes).await {
             Ok(version) => {
-                let last = version.revision;
+                let last_revision = version.revision;
                 kinds.into_iter().for_each(|kind| self.changes_by_kind.count(kind));
                 self.commits.push(Commit {
                     phase,
-                    requested_at_us: at_us,
-                    first_revision: last + 1 - count.min(last),
-                    last_revision: last,
+                    requested_at_us,
+                    first_revision: last_revision + 1 - count.min(last_revision),
+                    last_revision,
                 });
             }
             Err(error) => self.failures.push(format!("a commit of {count} changes failed: {error}")),
         }
     }
 
+    /// Reads processor time and memory of all processes.
     fn sample_usage(&mut self) {
         let servers = self.servers.process_ids().into_iter().enumerate();
         let servers =
@@ -280,11 +321,13 @@
         self.usage_samples.push(Sample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
     }
 
-    /// Notes which processes have ended by themselves, each once.
+    /// Records each process that has exited unexpectedly, once: control servers and hollow processes as failures, real
+    /// balancers as crashes in the ledgers.
     fn record_unexpected_exits(&mut self) {
-        for ended in self.servers.unexpected_exits().into_iter().chain(self.hollow.unexpected_exits()) {
-            if !self.failures.contains(&ended) {
-                self.failures.push(ended);
+        for exit_message in self.servers.unexpected_exits().into_iter().chain(self.hollow.unexpected_exits())
+        {
+            if !self.failures.contains(&exit_message) {
+                self.failures.push(exit_message);
             }
         }
         let mut ledgers = self.book.ledgers.borrow_mut();
@@ -296,17 +339,19 @@
         }
     }
 
+    /// The last revision that was committed.
     fn last_revision(&self) -> u64 {
         self.commits.last().map_or(self.first_revision, |commit| commit.last_revision)
     }
 
-    /// Waits until all balancers and control servers have the last version, or the time for that is over.
+    /// Waits until all balancers and control servers have the last revision, at most for the scenario's settle time. Returns
+    /// how long it waited.
     async fn wait_for_convergence(&mut self) -> Duration {
         let began = Instant::now();
-        let within = Duration::from_secs_f64(self.scenario.settle_seconds);
-        let (last, all) = (self.last_revision(), self.scenario.balancers as usize);
-        while began.elapsed() < within {
-            if self.count_at_revision(last) == all && self.all_servers_have(last).await {
+        let settle_time = Duration::from_secs_f64(self.scenario.settle_seconds);
+        let (last_revision, all) = (self.last_revision(), self.scenario.balancers as usize);
+        while began.elapsed() < settle_time {
+            if self.count_at_revision(last_revision) == all && self.all_servers_have(last_revision).await {
                 break;
             }
             sleep(POLL_INTERVAL).await;
@@ -324,11 +369,12 @@
         true
     }
 
+    /// Collects the final states and makes the report.
     async fn finish(
         mut self,
-        started: Duration,
-        settled: Duration,
-        real_restarts: &[(usize, RealRestart)],
+        start_duration: Duration,
+        convergence_duration: Duration,
+        real_restarts: &[RealRestart],
     ) -> io::Result<Report> {
         self.record_unexpected_exits();
         let server_states = self.server_states().await;
@@ -339,57 +385,60 @@
         self.wait_for_final_states().await;
         self.failures.extend(self.real.records_not_applied());
         self.real_bytes_task.abort();
-        self.real_bytes.borrow_mut().record(&super::real::read_byte_counts(&self.real.tap_logs));
+        self.real_bytes.borrow_mut().record(&real::read_byte_counts(&self.real.tap_logs));
         let real_series = self.real.in_force_series();
-        let mut ways = split_ledgers(self.book.ledgers.take(), &self.direct_ids);
-        for (upstream, revision) in &self.served_drains {
+        let mut traffic_ledgers = split_ledgers(self.book.ledgers.take(), &self.direct_ids);
+        for ServedDrain { upstream, revision } in &self.served_drains {
             let to_book = |at_us: u64| at_us.saturating_sub(self.book_start_us);
-            ways.balanced.told.extend(drain_notices(&real_series, *upstream, *revision, to_book));
+            let notices = drain_notices(&real_series, *upstream, *revision, to_book);
+            traffic_ledgers.balanced.told.extend(notices);
         }
-        let processes = self.servers.len()
+        let process_count = self.servers.len()
             + self.scenario.hollow_process_count() as usize
             + self.scenario.real_balancers as usize
             + 1;
-        let reported = self.hollow.reports.take();
+        let hollow_reports = self.hollow.reports.take();
         let replica_servers = self.servers.replica_servers();
-        let evidence = RunData {
+        let run_data = RunData {
             scenario: &self.scenario,
             traffic: &balanced_traffic(&self.scenario),
-            processes,
+            process_count,
             commits: &self.commits,
             changes_by_kind: self.changes_by_kind,
             first_revision: self.first_revision,
             phases_start_us: self.phases_start_book_us + self.book_start_us,
             phases_start_book_us: self.phases_start_book_us,
             end_us: clock::now_us(),
-            start_duration: started,
-            convergence_duration: settled,
+            start_duration,
+            convergence_duration,
             latest_step_us: self.latest_step_us,
             failures: self.failures,
             usage_samples: &self.usage_samples,
             real_server_load_readings: &self.real_server_load_readings,
             replica_servers: &replica_servers,
-            hollow_reports: &reported,
+            hollow_reports: &hollow_reports,
             real_series: &real_series,
             real_restarts,
             tap_logs: &self.real.tap_logs,
             real_bytes: &self.real_bytes.borrow(),
-            traffic_ledgers: &ways,
+            traffic_ledgers: &traffic_ledgers,
             server_states: &server_states,
             followers: &followers,
         };
-        Ok(summarize(evidence))
+        Ok(summarize(run_data))
     }
 
-    async fn server_states(&self) -> Vec<(String, Option<ServerState>)> {
+    /// Asks all control servers for their states, the origin first.
+    async fn server_states(&self) -> Vec<FinalServerState> {
         let mut states = Vec::new();
         for number in 0..self.servers.len() {
-            states.push((self.servers.name(number).into(), self.servers.state(number).await.ok()));
+            let state = self.servers.state(number).await.ok();
+            states.push(FinalServerState { name: self.servers.name(number).into(), state });
         }
         states
     }
 
-    /// The followers of all servers by name, each as the server says that has the newest of it.
+    /// The followers of all servers, by name. If several servers list a follower, the entry with the newest version counts.
     async fn followers(&self) -> BTreeMap<String, Follower> {
         let mut all: BTreeMap<String, Follower> = BTreeMap::new();
         for number in 0..self.servers.len() {
@@ -403,6 +452,7 @@
         all
     }
 
+    /// Waits until all hollow balancers have reported their final state, at most for [`FINAL_STATES_TIMEOUT`].
     async fn wait_for_final_states(&self) {
         let began = Instant::now();
         let hollow = self.scenario.hollow_balancer_count() as usize;
--- a/crates/pondlb-lab/src/scale/server_loads.rs
+++ b/crates/pondlb-lab/src/scale/server_loads.rs
@@ -10,6 +10,15 @@
 
 const US_PER_SECOND: f64 = 1e6;
 
+/// A reading of the byte counters of several balancers during an event in which replica servers are killed.
+#[derive(Clone, Debug)]
+pub struct ServerLoadReading {
+    /// The number of the phase of the event.
+    pub phase: usize,
+    /// The counters.
+    pub counts: ByteCounts,
+}
+
 /// The loads of some replica servers between two readings of the balancers' byte counters.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServerLoads {
