--- a/crates/pondlb-lab/src/scale/report.rs
+++ b/crates/pondlb-lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! The result of a scale run, as JSON and as a table.
+//! The report of a scale run, as JSON and as text tables.
 
 use std::fmt::{self, Display};
 
@@ -11,101 +11,115 @@
 use super::usage::RoleUsage;
 use crate::judge::Broken;
 
-/// The most failures of a kind that the table tells.
-const MAX_LISTED_PER_LIST: usize = 20;
+/// The number of failures, and of broken rules, that the text lists at most.
+const MAX_LISTED: usize = 20;
 
-/// What a run has shown.
+/// The report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Why the times and rules say nothing, if they do not.
+    /// Why the times and broken rules are not valid; `None` if they are.
     pub void: Option<String>,
-    /// What failed, whatever the times: no convergence, wrong order, processes that ended.
+    /// Failures that do not depend on times: missing convergence, updates in the wrong order, processes that exited.
     pub failures: Vec<String>,
-    /// Rules of the traffic that were broken.
+    /// The rules that the traffic has broken, according to the judge.
     pub broken: Vec<Broken>,
-    /// How many of everything.
+    /// The numbers of processes and records.
     pub sizes: Sizes,
-    /// What differs from the fleet that the run stands for.
+    /// How the run differs from the deployment that it stands for, and how its times are measured.
     pub remarks: Vec<String>,
-    /// From the start of hollow and real balancers until all had the first state.
+    /// From the start of the hollow and real balancers until all had the initial state, in seconds.
     pub start_seconds: f64,
-    /// From the end of the last phase until all had the last version.
+    /// From the end of the last phase until all balancers and control servers had the last version, in seconds.
     pub settle_seconds: f64,
-    /// How late the latest step of the time line was.
+    /// The largest delay of a step after its time in the timeline, in milliseconds.
     pub latest_step_ms: f64,
-    /// One for each phase.
+    /// The reports of the phases.
     pub phases: Vec<PhaseReport>,
-    /// From the first phase's start to the end.
+    /// The control traffic of hollow balancers from the start of the first phase to the end.
     pub hollow_bytes_per_second: ByteRates,
-    /// The same, of real balancers.
+    /// The control traffic of real balancers from the start of the first phase to the end.
     pub real_bytes_per_second: ByteRates,
-    /// Over all phases.
+    /// The usage of each role over all phases.
     pub usage: Vec<RoleUsage>,
-    /// Over all phases, a hollow balancer's part of its process.
+    /// The mean cost of a hollow balancer over all phases.
     pub hollow_balancer: HollowBalancerCost,
-    /// Memory of all processes together, at the moment of the phases when it was most.
+    /// The largest memory of all processes together at the start or end of a phase, in MB.
     pub most_resident_mb: f64,
-    /// How all ended.
+    /// The end of the run.
     pub end: EndReport,
 }
 
-/// What one of many in a process costs.
+/// The mean cost of one hollow balancer, which shares a process with many others.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct HollowBalancerCost {
-    /// Milliseconds of processor time a second.
+    /// Processor time per second, in milliseconds.
     pub processor_ms_per_second: f64,
-    /// Memory at the end.
+    /// Resident memory at the end, in MB.
     pub resident_mb: f64,
 }
 
-/// How many of everything there were.
+/// The numbers of processes and records of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Sizes {
+    /// All balancers, real and hollow.
     pub balancers: u32,
+    /// Balancers that are processes of their own, with traffic.
     pub real_balancers: u32,
+    /// Balancers without traffic.
     pub hollow_balancers: u32,
+    /// Processes that run the hollow balancers.
     pub hollow_processes: u32,
+    /// The origin and the replica servers.
     pub control_servers: usize,
+    /// Listed upstreams, including the served ones.
     pub upstreams: u32,
+    /// Upstreams of the emulated fleet.
     pub served_upstreams: u32,
+    /// Classes of requests.
     pub classes: u32,
+    /// Tenants with a quota.
     pub tenants: u32,
-    /// Limits with a record.
+    /// Limits that have a record.
     pub limits: u32,
-    /// Processes in all, with the laboratory itself.
+    /// All processes, including the laboratory itself.
     pub processes: usize,
+    /// The memory of all processes by estimate, in MB.
     pub memory_estimate_mb: u64,
 }
 
 /// The end of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EndReport {
-    /// The version of the last commit.
+    /// The origin's final version.
     pub version: String,
-    /// The origin's digest.
+    /// The origin's final digest.
     pub digest: String,
-    /// Balancers with that version and digest.
+    /// The number of balancers with this version and digest.
     pub balancers_same: usize,
-    /// Control servers with that version and digest.
+    /// The number of control servers with this version and digest, including the origin.
     pub servers_same: usize,
-    /// Changes that were committed.
+    /// The number of committed changes.
     pub changes: u64,
-    /// Changes that were committed, by what they are of.
+    /// The number of committed changes of each kind of record.
     pub changes_by_kind: ChangesByKind,
-    /// Answers that hollow balancers did not take, over all of them.
+    /// Answers of control servers that hollow balancers rejected, over all balancers.
     pub rejections: u64,
-    /// Repairs that hollow balancers went through.
+    /// Repairs that hollow balancers ran.
     pub repairs: u64,
-    /// Snapshots that hollow balancers took.
+    /// Snapshots that hollow balancers began to take.
     pub snapshots: u64,
 }
 
-/// Changes by the kind of record.
+/// The number of committed changes of each kind of record.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ChangesByKind {
+    /// Changes of upstreams.
     pub upstreams: u64,
+    /// Changes of classes.
     pub classes: u64,
+    /// Changes of tenants.
     pub tenants: u64,
+    /// Changes of limits.
     pub limits: u64,
 }
 
@@ -121,70 +135,82 @@
     }
 }
 
-/// What one phase has shown.
+/// The report of one phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
+    /// The name of the phase in the scenario.
     pub name: String,
+    /// The event of the phase.
     pub kind: PhaseKind,
+    /// The length of the phase, in seconds.
     pub seconds: f64,
-    /// Changes that were committed in it.
+    /// The number of changes that were committed in the phase.
     pub changes: u64,
-    /// From commit to in force, at all balancers.
+    /// The times of these changes from commit to in force, at all balancers.
     pub in_force: PropagationTimes,
-    /// At real ones.
+    /// The same at real balancers.
     pub in_force_real: PropagationTimes,
-    /// At those of each region.
+    /// The same at the balancers of each region.
     pub in_force_regions: Vec<PropagationTimes>,
+    /// The response times of the traffic.
     pub traffic: TrafficReport,
-    /// Of the replica servers that were left while others were lost; none in other phases.
+    /// The loads of the replica servers that kept running while others were killed; `None` in other phases.
     pub server_loads: Option<ServerLoads>,
-    /// Of real balancers, in a release.
+    /// The restarts of real balancers, in a release.
     pub restarts: Vec<RestartReport>,
+    /// The usage of each role during the phase.
     pub usage: Vec<RoleUsage>,
 }
 
-/// A real balancer's restart.
+/// The restart of a real balancer.
 #[derive(Clone, Debug, Serialize)]
 pub struct RestartReport {
+    /// The number of the balancer.
     pub balancer: u32,
-    /// From SIGTERM to its end.
+    /// From SIGTERM to the exit of the process, in milliseconds.
     pub ending_ms: f64,
-    /// From its start until its health was good.
+    /// From the start of the new process until its health check passed, in milliseconds.
     pub start_to_serving_ms: f64,
-    /// From its start until a call told the first state in force; none where that never came.
+    /// From the start of the new process until one of its calls gave a first state as in force, in milliseconds; `None` if
+    /// none did.
     pub start_to_in_force_ms: Option<f64>,
 }
 
-/// Times of the real traffic, from the intended send.
+/// The response times of the traffic, measured from the time at which the plan intended to send each request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct TrafficReport {
-    /// Requests through balancers.
+    /// The number of requests through balancers.
     pub asked: usize,
-    /// Of them, those not settled: declined, reversed, or without an answer.
+    /// The number of them that were not settled: declined, reversed or without an answer.
     pub unsettled: usize,
+    /// The median response time of settled requests through balancers, in milliseconds.
     pub p50_ms: f64,
+    /// The 99th percentile of them, in milliseconds.
     pub p99_ms: f64,
-    /// Requests straight to the upstreams.
+    /// The number of requests that went directly to the upstreams.
     pub direct_asked: usize,
+    /// The median response time of settled direct requests, in milliseconds.
     pub direct_p50_ms: f64,
+    /// The 99th percentile of them, in milliseconds.
     pub direct_p99_ms: f64,
-    /// What balancers add at the 99th percentile.
+    /// The difference of both 99th percentiles: what balancers add, in milliseconds.
     pub added_p99_ms: f64,
 }
 
-/// What a run says, for its exit code.
+/// The result of a run, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All held.
+    /// No failure and no broken rule.
     Held,
-    /// Something failed or was broken.
+    /// There was a failure or a broken rule.
     Failed,
-    /// The laboratory ran late.
+    /// There was no failure, but the laboratory ran too late for the times and rules to be valid.
     Void,
 }
 
 impl Report {
-    /// Failures don't hang on time, and so count in a void run too; broken rules may be the laboratory's own lateness.
+    /// The verdict of the report. Failures do not depend on times, so they also count in a void run. Broken rules do not,
+    /// because the laboratory's own delays may have caused them.
     pub fn verdict(&self) -> Verdict {
         if !self.failures.is_empty() {
             Verdict::Failed
@@ -233,7 +259,7 @@
         writeln!(
             to,
             "{:<22}{:>9}{:>10}{:>10}{:>10}{:>9}{:>11}{:>11}",
-            "phase", "changes", "p50", "p99", "most", "never", "real p99", "real most"
+            "phase", "changes", "p50", "p99", "max", "never", "real p99", "real max"
         )?;
         for phase in &self.phases {
             let (all, real) = (&phase.in_force, &phase.in_force_real);
@@ -254,17 +280,23 @@
     }
 
     fn fmt_traffic(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(to, "\nmilliseconds of the traffic, through balancers and straight to upstreams")?;
+        writeln!(to, "\nresponse times in milliseconds, through balancers and directly to upstreams")?;
         writeln!(
             to,
             "{:<22}{:>9}{:>11}{:>10}{:>10}{:>12}{:>12}{:>11}",
             "phase", "asked", "unsettled", "p50", "p99", "direct p50", "direct p99", "added p99"
         )?;
-        for PhaseReport { name, traffic: t, .. } in &self.phases {
+        for PhaseReport { name, traffic, .. } in &self.phases {
             writeln!(
                 to,
                 "{name:<22}{:>9}{:>11}{:>10.1}{:>10.1}{:>12.1}{:>12.1}{:>11.1}",
-                t.asked, t.unsettled, t.p50_ms, t.p99_ms, t.direct_p50_ms, t.direct_p99_ms, t.added_p99_ms
+                traffic.asked,
+                traffic.unsettled,
+                traffic.p50_ms,
+                traffic.p99_ms,
+                traffic.direct_p50_ms,
+                traffic.direct_p99_ms,
+                traffic.added_p99_ms
             )?;
         }
         Ok(())
@@ -275,7 +307,7 @@
             let Some(loads) = &phase.server_loads else { continue };
             writeln!(
                 to,
-                "\n{}: {} control servers left, counted for {:.1} s; a server's share is {:.0} bytes a second",
+                "\n{}: {} replica servers left, measured for {:.1} s; a server's share is {:.0} bytes a second",
                 phase.name,
                 loads.servers.len(),
                 loads.seconds,
@@ -294,7 +326,7 @@
                 )?;
             }
             if loads.without_server > 0 {
-                writeln!(to, "{} balancers called none of them", loads.without_server)?;
+                writeln!(to, "{} balancers called none of these servers", loads.without_server)?;
             }
         }
         Ok(())
@@ -305,7 +337,7 @@
             self.phases.iter().filter(|phase| !phase.restarts.is_empty())
         {
             writeln!(to, "\n{name}: milliseconds of real balancers' restarts")?;
-            writeln!(to, "{:<10}{:>10}{:>12}{:>12}", "balancer", "to its end", "to serving", "to in force")?;
+            writeln!(to, "{:<10}{:>10}{:>12}{:>12}", "balancer", "to exit", "to serving", "to in force")?;
             for restart in restarts {
                 let in_force = restart.start_to_in_force_ms.map_or("never".into(), |ms| format!("{ms:.0}"));
                 writeln!(
@@ -327,7 +359,7 @@
             writeln!(
                 to,
                 "{name:<8}mean {:.0} received, {:.0} sent; both ways worst 10 s {:.0}, worst minute {minute}, worst 10 s \
-                 of one {:.0}",
+                 of one balancer {:.0}",
                 rates.mean_received, rates.mean_sent, rates.worst_window, rates.worst_balancer_window
             )?;
         }
@@ -340,7 +372,7 @@
             writeln!(
                 to,
                 "{:<18}{:>10}{:>12.3}{:>10.0}{:>14.0}{:>12.0}",
-                format!("{:?}", usage.role),
+                usage.role.label(),
                 usage.processes,
                 usage.processors,
                 usage.resident_mb,
@@ -403,14 +435,15 @@
     }
 }
 
+/// Writes one line for each entry, up to [`MAX_LISTED`], and the number of those that are left out.
 fn write_list(
     to: &mut fmt::Formatter,
-    kind: &str,
-    what: impl ExactSizeIterator<Item = String>,
+    label: &str,
+    entries: impl ExactSizeIterator<Item = String>,
 ) -> fmt::Result {
-    let more = what.len().saturating_sub(MAX_LISTED_PER_LIST);
-    for one in what.take(MAX_LISTED_PER_LIST) {
-        writeln!(to, "{kind}: {one}")?;
+    let more = entries.len().saturating_sub(MAX_LISTED);
+    for entry in entries.take(MAX_LISTED) {
+        writeln!(to, "{label}: {entry}")?;
     }
     if more > 0 {
         writeln!(to, "and {more} more")?;
--- a/crates/pondlb-lab/src/scale/scenario.rs
+++ b/crates/pondlb-lab/src/scale/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a scale run: TOML to a checked description. No I/O.
+//! The scenario of a scale run: parses it from TOML and validates it. No I/O.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -9,74 +9,74 @@
 use super::servers::{Layout, UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND};
 use crate::scenario::Fault;
 
-/// A scale run: how many of everything, and what happens when.
+/// The description of a scale run: the numbers of processes and records, the traffic, and the phases with their events.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Draws the records, the changes and the traffic.
+    /// The seed of the random numbers for the changes and the traffic.
     pub seed: u64,
-    /// All balancers, real and hollow.
+    /// The number of all balancers, real and hollow.
     pub balancers: u32,
-    /// Balancers that are real processes with traffic.
-    #[serde(default = "real_balancers")]
+    /// The number of real balancers: processes of their own, with traffic.
+    #[serde(default = "default_real_balancers")]
     pub real_balancers: u32,
-    /// Followers in one hollow process.
-    #[serde(default = "followers_each")]
+    /// The number of hollow balancers in one hollow process.
+    #[serde(default = "default_followers_each")]
     pub followers_each: u32,
-    /// Followers of one hollow process that may take their first snapshot at the same time.
-    #[serde(default = "starts_at_once")]
+    /// How many balancers of one hollow process may take their first snapshot at the same time.
+    #[serde(default = "default_starts_at_once")]
     pub starts_at_once: u32,
-    /// Listed upstreams, the served ones included.
+    /// The number of listed upstreams, including the served ones.
     pub upstreams: u32,
-    /// Classes of requests, those of the traffic included.
+    /// The number of classes of requests, including those of the traffic.
     pub classes: u32,
-    /// Tenants with a quota.
+    /// The number of tenants, each with a quota.
     pub tenants: u32,
-    /// Regions; the origin is in the first.
-    #[serde(default = "regions")]
+    /// The number of regions; the origin is in the first.
+    #[serde(default = "default_regions")]
     pub regions: u32,
-    /// Zones in each region.
-    #[serde(default = "zones_per_region")]
+    /// The number of zones in each region.
+    #[serde(default = "default_zones_per_region")]
     pub zones_per_region: u32,
-    /// Control servers beside the origin, spread over the regions.
-    #[serde(default = "replica_servers")]
+    /// The number of control servers besides the origin, spread evenly over the regions.
+    #[serde(default = "default_replica_servers")]
     pub replica_servers: u32,
-    /// The address that control servers listen on.
-    #[serde(default = "listen")]
+    /// The loopback address that control servers listen on.
+    #[serde(default = "default_listen")]
     pub listen: IpAddr,
-    /// For how long a control server gathers changes between two answers to one caller.
-    #[serde(default = "gather_ms")]
+    /// How long a control server gathers changes between two answers to the same caller, in milliseconds.
+    #[serde(default = "default_gather_ms")]
     pub gather_ms: u64,
-    /// For how long a control server may hold a call without news.
-    #[serde(default = "hold_ms")]
+    /// How long a control server may hold a call for changes that finds none, in milliseconds.
+    #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// For how long balancers may take to reach the same version after the last phase.
-    #[serde(default = "settle_seconds")]
+    /// How long balancers and control servers may take to reach the last version after the last phase, in seconds.
+    #[serde(default = "default_settle_seconds")]
     pub settle_seconds: f64,
     /// The traffic of the real balancers.
     #[serde(default)]
     pub traffic: Traffic,
-    /// What happens, in this order.
+    /// The phases in the order in which they are played.
     pub phases: Vec<Phase>,
 }
 
-/// Open-loop traffic before an emulated fleet.
+/// Open-loop traffic to an emulated fleet of upstreams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Requests a second to each real balancer.
+    /// Requests per second to each real balancer.
     pub rate_each: f64,
-    /// Requests a second that go straight to the upstreams, for comparison.
+    /// Requests per second that go directly to the upstreams, for comparison.
     pub direct_rate: f64,
     /// How many of the listed upstreams are served by the emulated fleet.
     pub served_upstreams: u32,
-    /// Cores of each.
+    /// The number of cores of each served upstream.
     pub cores: u32,
-    /// Work of a request.
+    /// The processor time of a request at an upstream, in milliseconds.
     pub work_ms: f64,
-    /// How long clients wait for an answer that is in time.
+    /// The response time up to which an answer is in time, in milliseconds.
     pub sla_ms: u64,
-    /// How long clients wait at all.
+    /// How long clients wait for an answer, in milliseconds.
     pub expiry_ms: u64,
 }
 
@@ -94,130 +94,137 @@
     }
 }
 
-/// A part of the run, with a name of its own in the report.
+/// A part of the run, which has its own section in the report.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// How the report names it.
+    /// The name of the phase in the report.
     pub name: String,
-    /// What happens at its start.
+    /// The event that begins at the start of the phase.
     pub kind: PhaseKind,
-    /// How long it lasts.
+    /// The length of the phase, in seconds.
     pub seconds: f64,
-    /// Changes of single records a second, throughout.
+    /// Commits of a single change per second, during the whole phase.
     pub changes_per_second: f64,
-    /// For how long the event lasts: until a zone comes back, a server is started again, the regions are joined, or
-    /// a process goes on. Less than `seconds`.
+    /// How long the event lasts, in seconds: until a zone returns, killed servers are started again, the partition ends or
+    /// the suspended process resumes. Less than `seconds`.
     #[serde(default)]
     pub event_seconds: f64,
-    /// How many upstreams a rack has.
-    #[serde(default = "rack_upstreams")]
+    /// The number of upstreams of a rack.
+    #[serde(default = "default_rack_upstreams")]
     pub rack_upstreams: u32,
-    /// Which zone leaves, counted over all regions.
+    /// The number of the zone that is removed, counted over all regions.
     #[serde(default)]
     pub zone: u32,
-    /// Which replica servers are killed together.
+    /// The numbers of the replica servers that are killed together.
     #[serde(default)]
     pub servers: Vec<u32>,
-    /// Which hollow process is stopped.
+    /// The number of the hollow process that is suspended.
     #[serde(default)]
     pub process: u32,
-    /// How many tenths of the hollow balancers are restarted, one after the other.
-    #[serde(default = "tenths")]
+    /// How many tenths of the hollow balancers a release restarts, one tenth after the other.
+    #[serde(default = "default_tenths")]
     pub tenths: u32,
 }
 
-/// What happens in a phase beside its changes.
+/// The event of a phase, which happens in addition to its changes.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum PhaseKind {
-    /// Nothing else.
+    /// No event.
     Steady,
-    /// A rack's upstreams are removed at once, and one served upstream drains.
+    /// The upstreams of a rack are removed in one commit, and one served upstream drains.
     Rack,
-    /// A zone's upstreams are removed at once, and come back at once.
+    /// All unserved upstreams of a zone are removed together, and added again together.
     Zone,
-    /// Real balancers are restarted one after the other, and hollow ones from nothing, a tenth at a time.
+    /// Real balancers are restarted one after the other, and hollow balancers a tenth at a time, without keeping any state.
     Release,
     /// Replica servers are killed together, and started again.
     KillServer,
-    /// The replica servers outside the first region lose the origin in silence, and find it again.
+    /// The traffic between the origin and the replica servers outside the first region is held back without closing
+    /// connections, and forwarded again at the end.
     Partition,
-    /// A hollow process is stopped, and continued.
+    /// A hollow process is suspended, and resumed.
     Stop,
 }
 
-fn real_balancers() -> u32 {
+fn default_real_balancers() -> u32 {
     4
 }
 
-fn followers_each() -> u32 {
+fn default_followers_each() -> u32 {
     125
 }
 
-fn starts_at_once() -> u32 {
+fn default_starts_at_once() -> u32 {
     3
 }
 
-fn regions() -> u32 {
+fn default_regions() -> u32 {
     2
 }
 
-fn zones_per_region() -> u32 {
+fn default_zones_per_region() -> u32 {
     5
 }
 
-fn replica_servers() -> u32 {
+fn default_replica_servers() -> u32 {
     14
 }
 
-fn listen() -> IpAddr {
+fn default_listen() -> IpAddr {
     IpAddr::from([127, 0, 0, 1])
 }
 
-fn gather_ms() -> u64 {
+fn default_gather_ms() -> u64 {
     200
 }
 
-fn hold_ms() -> u64 {
+fn default_hold_ms() -> u64 {
     1000
 }
 
-fn settle_seconds() -> f64 {
+fn default_settle_seconds() -> f64 {
     25.0
 }
 
-fn rack_upstreams() -> u32 {
+fn default_rack_upstreams() -> u32 {
     40
 }
 
-fn tenths() -> u32 {
+fn default_tenths() -> u32 {
     10
 }
 
-/// The longest time of all phases: with start and end the run takes five minutes at most.
+/// The maximum length of all phases together, in seconds. With its start and end, a run then takes at most five minutes.
 const MAX_TOTAL_SECONDS: f64 = 120.0;
 const MAX_BALANCERS: u32 = 3000;
+const MAX_REAL_BALANCERS: u32 = 64;
+const MAX_FOLLOWERS_PER_PROCESS: u32 = 1000;
+const MAX_STARTS_AT_ONCE: u32 = 1000;
 const MAX_RECORDS: u32 = 500_000;
+const MAX_REGIONS: u32 = 8;
+const MAX_ZONES_PER_REGION: u32 = 32;
 const MAX_REPLICA_SERVERS: u32 = 64;
 const MAX_PROCESSES: u32 = 300;
+/// The maximum number of single changes in all phases together.
 const MAX_CHANGES: f64 = 200_000.0;
 
-/// What the estimate counts for one record in a hollow balancer: key, hash and map, and the consumer's revision.
+/// The estimated memory of a record in a hollow balancer: key, hash and map entry, and the consumer's revision.
 const HOLLOW_RECORD_BYTES: u64 = 48;
-/// What it counts for one record in a control server.
+/// The estimated memory of a record in a control server.
 const SERVER_RECORD_BYTES: u64 = 800;
-/// What it counts for one upstream in a real balancer.
+/// The estimated memory of an upstream in a real balancer.
 const REAL_UPSTREAM_BYTES: u64 = 3000;
-/// What it counts for one class or tenant in a real balancer.
+/// The estimated memory of a class or a tenant in a real balancer.
 const REAL_SETTING_BYTES: u64 = 700;
-/// What it counts for one record of a snapshot that is being taken.
+/// The estimated memory of a record of a snapshot that a hollow balancer is taking.
 const STAGED_RECORD_BYTES: u64 = 350;
-/// What it counts for the laboratory itself.
+/// The estimated memory of the laboratory itself.
 const LAB_BYTES: u64 = 500 << 20;
 
 impl Scenario {
-    /// The control servers of the run.
+    /// The layout of the control servers of the run.
     pub fn layout(&self) -> Layout {
         Layout {
             listen: self.listen,
@@ -228,68 +235,71 @@
         }
     }
 
-    /// Reads and checks a scenario, shrunk to a share of its balancers and records.
+    /// Parses and validates a scenario, scaled down to a share of its balancers and records. `memory_bytes` is the memory of
+    /// the machine.
     ///
     /// # Errors
-    /// All that is wrong, so that nobody mends one fault only to meet the next.
+    /// Returns all faults at once, so that they can be fixed together.
     pub fn parse(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<Fault>> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| vec![e.to_string().trim().into()])?;
-        let mut faults = scenario.faults(memory_bytes, share);
+        let mut faults = scenario.validate(memory_bytes, share);
         if !(share > 0.0 && share <= 1.0) {
-            faults.push(format!("--share: {share}: above 0, 1 at most"));
+            faults.push(format!("--share: {share}: must be above 0 and at most 1"));
         }
         if faults.is_empty() { Ok(scenario.scaled_down(share)) } else { Err(faults) }
     }
 
-    /// The same with a share of the balancers and records; real balancers and served upstreams stay.
+    /// The scenario with this share of its balancers and records. The real balancers and the served upstreams stay.
     fn scaled_down(mut self, share: f64) -> Scenario {
-        let shrink = |count: u32, least: u32| ((f64::from(count) * share).round() as u32).max(least);
-        self.balancers = shrink(self.balancers, self.real_balancers + 2);
+        let scale = |count: u32, min: u32| ((f64::from(count) * share).round() as u32).max(min);
+        self.balancers = scale(self.balancers, self.real_balancers + 2);
         let zones = self.zone_count();
-        self.upstreams = shrink(self.upstreams, self.traffic.served_upstreams + 2 * zones);
-        self.classes = shrink(self.classes, 2);
-        self.tenants = shrink(self.tenants, 1);
+        self.upstreams = scale(self.upstreams, self.traffic.served_upstreams + 2 * zones);
+        self.classes = scale(self.classes, 2);
+        self.tenants = scale(self.tenants, 1);
         self
     }
 
-    /// Zones of all regions.
+    /// The number of zones of all regions together.
     pub fn zone_count(&self) -> u32 {
         self.regions.saturating_mul(self.zones_per_region)
     }
 
-    /// Balancers without traffic.
+    /// The number of balancers without traffic.
     pub fn hollow_balancer_count(&self) -> u32 {
         self.balancers.saturating_sub(self.real_balancers)
     }
 
-    /// Processes that hold them: two at least, so that one can be stopped while another goes on.
+    /// The number of hollow processes: at least two, so that one runs on while the other is suspended.
     pub fn hollow_process_count(&self) -> u32 {
         self.hollow_balancer_count().div_ceil(self.followers_each.max(1)).max(2)
     }
 
-    /// All records of the initial state.
+    /// The number of records of the initial state.
     pub fn record_count(&self) -> u64 {
         u64::from(self.upstreams) + u64::from(self.classes) + u64::from(self.tenants) + u64::from(LIMIT_COUNT)
     }
 
-    /// How long the phases last together.
+    /// The length of all phases together, in seconds.
     pub fn total_seconds(&self) -> f64 {
         self.phases.iter().map(|phase| phase.seconds).sum()
     }
 
-    /// What all processes together are estimated to hold.
+    /// The estimated memory of all processes together.
     pub fn memory_estimate_bytes(&self) -> u64 {
         let records = self.record_count();
         let hollow = u64::from(self.hollow_balancer_count()) * records * HOLLOW_RECORD_BYTES;
         let servers = (u64::from(self.replica_servers) + 1) * records * SERVER_RECORD_BYTES;
         let settings = u64::from(self.classes) + u64::from(self.tenants);
-        let each_real = u64::from(self.upstreams) * REAL_UPSTREAM_BYTES + settings * REAL_SETTING_BYTES;
-        let real = u64::from(self.real_balancers) * each_real;
-        let starting = u64::from(self.hollow_process_count()) * u64::from(self.starts_at_once);
-        hollow + servers + real + starting * records * STAGED_RECORD_BYTES + LAB_BYTES
+        let per_real_balancer =
+            u64::from(self.upstreams) * REAL_UPSTREAM_BYTES + settings * REAL_SETTING_BYTES;
+        let real = u64::from(self.real_balancers) * per_real_balancer;
+        let concurrent_snapshots = u64::from(self.hollow_process_count()) * u64::from(self.starts_at_once);
+        hollow + servers + real + concurrent_snapshots * records * STAGED_RECORD_BYTES + LAB_BYTES
     }
 
-    fn faults(&self, memory_bytes: u64, share: f64) -> Vec<Fault> {
+    /// All faults of the scenario. The memory estimate is checked for the given share, and only if there are no other faults.
+    fn validate(&self, memory_bytes: u64, share: f64) -> Vec<Fault> {
         let mut faults = Vec::new();
         self.check_sizes(&mut faults);
         self.check_traffic(&mut faults);
@@ -297,18 +307,22 @@
             self.check_phase(number, phase, &mut faults);
         }
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
-        check(!self.phases.is_empty(), "phases: there is none".into());
+        check(!self.phases.is_empty(), "phases: must have at least one entry".into());
         let seconds = self.total_seconds();
         check(
             is_within(seconds, 0.1, MAX_TOTAL_SECONDS),
-            format!("phases: {seconds} s in all: 0.1 to {MAX_TOTAL_SECONDS} wanted"),
+            format!("phases: {seconds} s in total: must be 0.1 to {MAX_TOTAL_SECONDS}"),
         );
         let changes: f64 = self.phases.iter().map(|phase| phase.seconds * phase.changes_per_second).sum();
-        check(changes <= MAX_CHANGES, format!("phases: {changes} changes in all: {MAX_CHANGES} at most"));
+        check(
+            changes <= MAX_CHANGES,
+            format!("phases: {changes} changes in total: must be at most {MAX_CHANGES}"),
+        );
         if faults.is_empty() && share > 0.0 && share <= 1.0 {
             let needed = self.clone().scaled_down(share).memory_estimate_bytes();
-            let told = format!("{} MB by estimate: the machine has {}", needed >> 20, memory_bytes >> 20);
-            faults.extend((needed > memory_bytes).then(|| format!("balancers: {told}")));
+            let sizes =
+                format!("{} MB by estimate, but the machine has {} MB", needed >> 20, memory_bytes >> 20);
+            faults.extend((needed > memory_bytes).then(|| format!("balancers: {sizes}")));
         }
         faults
     }
@@ -317,40 +331,43 @@
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         let counts = [
             ("balancers", self.balancers, MAX_BALANCERS),
-            ("real_balancers", self.real_balancers, 64),
-            ("followers_each", self.followers_each, 1000),
-            ("starts_at_once", self.starts_at_once, 1000),
+            ("real_balancers", self.real_balancers, MAX_REAL_BALANCERS),
+            ("followers_each", self.followers_each, MAX_FOLLOWERS_PER_PROCESS),
+            ("starts_at_once", self.starts_at_once, MAX_STARTS_AT_ONCE),
             ("upstreams", self.upstreams, MAX_RECORDS),
             ("classes", self.classes, MAX_RECORDS),
             ("tenants", self.tenants, MAX_RECORDS),
-            ("regions", self.regions, 8),
-            ("zones_per_region", self.zones_per_region, 32),
+            ("regions", self.regions, MAX_REGIONS),
+            ("zones_per_region", self.zones_per_region, MAX_ZONES_PER_REGION),
             ("replica_servers", self.replica_servers, MAX_REPLICA_SERVERS),
         ];
-        for (key, count, most) in counts {
-            check((1..=most).contains(&count), format!("{key}: {count}: 1 to {most}"));
+        for (key, count, max) in counts {
+            check((1..=max).contains(&count), format!("{key}: {count}: must be 1 to {max}"));
         }
-        check(self.listen.is_loopback(), format!("listen: {}: no loopback address", self.listen));
-        check((1..=10_000).contains(&self.gather_ms), format!("gather_ms: {}: 1 to 10000", self.gather_ms));
-        check((1..=60_000).contains(&self.hold_ms), format!("hold_ms: {}: 1 to 60000", self.hold_ms));
+        check(self.listen.is_loopback(), format!("listen: {}: must be a loopback address", self.listen));
+        check(
+            (1..=10_000).contains(&self.gather_ms),
+            format!("gather_ms: {}: must be 1 to 10000", self.gather_ms),
+        );
+        check((1..=60_000).contains(&self.hold_ms), format!("hold_ms: {}: must be 1 to 60000", self.hold_ms));
         let settle = self.settle_seconds;
-        check(is_within(settle, 1.0, 25.0), format!("settle_seconds: {settle}: 1 to 25"));
+        check(is_within(settle, 1.0, 25.0), format!("settle_seconds: {settle}: must be 1 to 25"));
         let records = self.record_count();
         check(
             records <= u64::from(MAX_RECORDS),
-            format!("upstreams: {records} records in all: {MAX_RECORDS} at most"),
+            format!("upstreams: {records} records in total: must be at most {MAX_RECORDS}"),
         );
         check(
             self.balancers >= self.real_balancers.saturating_add(2),
-            format!("balancers: {}: two more than real_balancers at least", self.balancers),
+            format!("balancers: {}: must be at least real_balancers + 2", self.balancers),
         );
         check(
             self.replica_servers >= self.regions,
-            format!("replica_servers: {}: one in each region at least", self.replica_servers),
+            format!("replica_servers: {}: must be at least the number of regions", self.replica_servers),
         );
         check(
             self.replica_servers <= MAX_REPLICA_SERVERS && self.hollow_process_count() <= MAX_PROCESSES / 2,
-            format!("followers_each: {}: that makes too many processes", self.followers_each),
+            format!("followers_each: {}: makes too many hollow processes", self.followers_each),
         );
     }
 
@@ -358,39 +375,48 @@
         let traffic = &self.traffic;
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         for (key, rate) in [("rate_each", traffic.rate_each), ("direct_rate", traffic.direct_rate)] {
-            check(is_within(rate, 0.1, 1000.0), format!("traffic.{key}: {rate}: 0.1 to 1000"));
+            check(is_within(rate, 0.1, 1000.0), format!("traffic.{key}: {rate}: must be 0.1 to 1000"));
         }
         let served = traffic.served_upstreams;
-        check((2..=256).contains(&served), format!("traffic.served_upstreams: {served}: 2 to 256"));
+        check((2..=256).contains(&served), format!("traffic.served_upstreams: {served}: must be 2 to 256"));
         check(
             served.saturating_add(self.zone_count().saturating_mul(2)) <= self.upstreams,
-            format!("upstreams: {}: the served ones and two for each zone at least", self.upstreams),
+            format!(
+                "upstreams: {}: must be at least served_upstreams plus two for each zone",
+                self.upstreams
+            ),
+        );
+        check(
+            (1..=256).contains(&traffic.cores),
+            format!("traffic.cores: {}: must be 1 to 256", traffic.cores),
         );
-        check((1..=256).contains(&traffic.cores), format!("traffic.cores: {}: 1 to 256", traffic.cores));
         let work = traffic.work_ms;
-        check(is_within(work, 0.01, 1000.0), format!("traffic.work_ms: {work}: 0.01 to 1000"));
-        check(traffic.sla_ms >= 1, "traffic.sla_ms: 0: 1 at least".into());
+        check(is_within(work, 0.01, 1000.0), format!("traffic.work_ms: {work}: must be 0.01 to 1000"));
+        check(traffic.sla_ms >= 1, "traffic.sla_ms: 0: must be at least 1".into());
         check(
             (traffic.sla_ms..=60_000).contains(&traffic.expiry_ms),
-            format!("traffic.expiry_ms: {}: sla_ms to 60000", traffic.expiry_ms),
+            format!("traffic.expiry_ms: {}: must be sla_ms to 60000", traffic.expiry_ms),
         );
     }
 
-    /// What is wrong with the replica servers that are to be killed together.
+    /// The faults of a list of replica servers to be killed together.
     fn killed_server_faults(&self, servers: &[u32]) -> impl Iterator<Item = String> {
         let all = self.replica_servers;
         let missing = servers.iter().filter(move |server| **server >= all);
-        let missing = missing.map(move |server| format!("{server}: there are {all}"));
+        let missing =
+            missing.map(move |server| format!("{server}: must be less than replica_servers ({all})"));
         let mut known = BTreeSet::new();
-        let doubled = servers.iter().filter(move |server| !known.insert(**server));
-        let doubled = doubled.map(|server| format!("{server}: named twice"));
+        let duplicates = servers.iter().filter(move |server| !known.insert(**server));
+        let duplicates = duplicates.map(|server| format!("{server}: listed twice"));
         let distinct: BTreeSet<_> = servers.iter().collect();
         let count = match distinct.len() {
-            0 => Some("there is none".to_string()),
-            count if count >= all as usize => Some(format!("all {all} of them: one is left at least")),
+            0 => Some("must have at least one entry".to_string()),
+            count if count >= all as usize => {
+                Some(format!("lists all {all} replica servers: at least one must keep running"))
+            }
             _ => None,
         };
-        missing.chain(doubled).chain(count)
+        missing.chain(duplicates).chain(count)
     }
 
     fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<Fault>) {
@@ -399,26 +425,29 @@
         let seconds = phase.seconds;
         check(
             is_within(seconds, 0.1, MAX_TOTAL_SECONDS),
-            format!("{}: {seconds}: 0.1 to {MAX_TOTAL_SECONDS}", key("seconds")),
+            format!("{}: {seconds}: must be 0.1 to {MAX_TOTAL_SECONDS}", key("seconds")),
         );
         let rate = phase.changes_per_second;
-        check(is_within(rate, 0.0, 2000.0), format!("{}: {rate}: 0 to 2000", key("changes_per_second")));
-        let lasting = [PhaseKind::Zone, PhaseKind::KillServer, PhaseKind::Partition, PhaseKind::Stop]
+        check(
+            is_within(rate, 0.0, 2000.0),
+            format!("{}: {rate}: must be 0 to 2000", key("changes_per_second")),
+        );
+        let has_event_time = [PhaseKind::Zone, PhaseKind::KillServer, PhaseKind::Partition, PhaseKind::Stop]
             .contains(&phase.kind);
         let event = phase.event_seconds;
         check(
-            !lasting || (event > 0.0 && event < seconds),
-            format!("{}: {event}: above 0, less than seconds", key("event_seconds")),
+            !has_event_time || (event > 0.0 && event < seconds),
+            format!("{}: {event}: must be above 0 and less than seconds", key("event_seconds")),
         );
         match phase.kind {
             PhaseKind::Steady => {}
             PhaseKind::Partition => {
-                check(self.regions >= 2, format!("{}: there is one region only", key("kind")));
+                check(self.regions >= 2, format!("{}: a partition needs at least two regions", key("kind")));
             }
             PhaseKind::Rack => check(
                 phase.rack_upstreams >= 1 && phase.rack_upstreams < self.upstreams,
                 format!(
-                    "{}: {}: 1 at least, less than upstreams",
+                    "{}: {}: must be at least 1 and less than upstreams",
                     key("rack_upstreams"),
                     phase.rack_upstreams
                 ),
@@ -426,27 +455,33 @@
             PhaseKind::Zone => {
                 check(
                     phase.zone < self.zone_count(),
-                    format!("{}: {}: there are {}", key("zone"), phase.zone, self.zone_count()),
+                    format!(
+                        "{}: {}: must be less than the number of zones ({})",
+                        key("zone"),
+                        phase.zone,
+                        self.zone_count()
+                    ),
                 );
             }
             PhaseKind::Release => check(
                 (1..=10).contains(&phase.tenths),
-                format!("{}: {}: 1 to 10", key("tenths"), phase.tenths),
+                format!("{}: {}: must be 1 to 10", key("tenths"), phase.tenths),
             ),
             PhaseKind::KillServer => {
                 faults.extend(
                     self.killed_server_faults(&phase.servers)
-                        .map(|told| format!("{}: {told}", key("servers"))),
+                        .map(|fault| format!("{}: {fault}", key("servers"))),
                 );
             }
-            // The first two are there in any share.
+            // A scenario has at least two hollow processes, whatever its share.
             PhaseKind::Stop => {
-                check(phase.process < 2, format!("{}: {}: 0 or 1", key("process"), phase.process));
+                check(phase.process < 2, format!("{}: {}: must be 0 or 1", key("process"), phase.process));
             }
         }
     }
 }
 
-fn is_within(value: f64, least: f64, most: f64) -> bool {
-    value >= least && value <= most
+/// Whether the value is from `min` to `max`; never true of NaN.
+fn is_within(value: f64, min: f64, max: f64) -> bool {
+    value >= min && value <= max
 }
--- a/crates/pondlb-lab/src/scale/usage.rs
+++ b/crates/pondlb-lab/src/scale/usage.rs
@@ -6,7 +6,7 @@
 
 use super::process::{self, ProcessUsage};
 
-/// The role of a process in the run. The report prints the names of the variants.
+/// The role of a process in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -22,6 +22,19 @@
     Laboratory,
 }
 
+impl Role {
+    /// The name of the role in the text of the report.
+    pub fn label(self) -> &'static str {
+        match self {
+            Role::Origin => "Origin",
+            Role::ReplicaServer => "ReplicaServer",
+            Role::RealBalancer => "RealBalancer",
+            Role::HollowProcess => "HollowProcess",
+            Role::Laboratory => "Laboratory",
+        }
+    }
+}
+
 /// The usage of every process at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
@@ -93,3 +106,6 @@
 fn megabytes(bytes: u64) -> f64 {
     bytes as f64 / f64::from(1 << 20)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/pondlb-lab/tests/programs/mod.rs
+++ b/crates/pondlb-lab/tests/programs/mod.rs
@@ -1,9 +1,10 @@
-//! Programs of other packages that tests start.
+//! Builds programs of other packages that tests start.
 
 use std::path::Path;
 use std::process::Command;
 
-/// A program of another package, where cargo puts it. A test of this package alone does not build it.
+/// Builds a program of another package, in the profile of this test, and returns its path. Running the tests of this
+/// package alone would not build it.
 pub fn program(package: &str, name: &str) -> String {
     let lab = Path::new(env!("CARGO_BIN_EXE_pondlb-lab"));
     let mut build = Command::new(env!("CARGO"));
