--- a/crates/pondlb-control-net/src/server/followers.rs
+++ b/crates/pondlb-control-net/src/server/followers.rs
@@ -1,4 +1,4 @@
-//! Who follows this server.
+//! The table of the followers that use this server.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,83 +9,101 @@
 
 use super::request::Caller;
 
-/// A follower that has not called for so long is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// A follower is removed from the table when its last request is this old.
+const FOLLOWER_EXPIRY: Duration = Duration::from_secs(60);
 
-/// The answer to `GET /control/followers`.
+/// The response to `GET /control/followers`.
 #[derive(Debug, Serialize)]
-pub struct FollowersAnswer {
+pub struct FollowersResponse {
     /// The server's own version.
     pub version: Version,
-    /// Those that called lately, in the order of their names.
-    pub followers: Vec<Follower>,
+    /// The followers with a recent request, sorted by name.
+    pub followers: Vec<FollowerState>,
 }
 
-/// One follower in the answer.
+/// One follower in the response.
 #[derive(Debug, Serialize)]
-pub struct Follower {
-    /// As it calls itself.
+pub struct FollowerState {
+    /// The name in its requests.
     pub name: String,
-    /// What it has in force, as its last call told.
+    /// Its active version, as reported by its last request.
     pub version: Version,
-    /// The digest that it sent was right, and all records are in force.
+    /// Whether it had the server's version and digest when it sent the request, and has applied all records.
     pub in_sync: bool,
-    /// How many records it could not put in force: its settings as a whole do not allow them.
-    pub refused: u64,
-    /// How long ago its last call came.
-    pub seen_ms: u64,
+    /// The number of records that it could not apply, because its settings as a whole don't allow them.
+    #[serde(rename = "refused")]
+    pub unapplied_records: u64,
+    /// The time since its last request, in milliseconds.
+    #[serde(rename = "seen_ms")]
+    pub last_request_age_ms: u64,
 }
 
-/// The followers that called lately, a bounded number of them.
+/// A bounded table of the followers with a recent request.
 #[derive(Debug)]
 pub struct FollowerTable {
-    most: usize,
-    rows: BTreeMap<String, Row>,
+    capacity: usize,
+    entries: BTreeMap<String, FollowerEntry>,
 }
 
+/// What the last request of a follower reported.
 #[derive(Debug)]
-struct Row {
+struct FollowerEntry {
     version: Version,
-    has_all: bool,
-    refused: u64,
-    seen: Instant,
+    /// Whether the version and the digest were those of the server.
+    has_current_records: bool,
+    unapplied_records: u64,
+    last_request_at: Instant,
 }
 
 impl FollowerTable {
-    /// An empty table for so many followers.
-    pub fn new(most: usize) -> FollowerTable {
-        FollowerTable { most, rows: BTreeMap::new() }
+    /// An empty table for at most `capacity` followers.
+    pub fn new(capacity: usize) -> FollowerTable {
+        FollowerTable { capacity, entries: BTreeMap::new() }
     }
 
-    /// A call of a follower has come. A new one is not noted where the table is full of others.
-    pub fn note(&mut self, Caller { name, refused }: &Caller, version: Version, has_all: bool, now: Instant) {
-        let row = Row { version, has_all, refused: *refused, seen: now };
-        if let Some(known) = self.rows.get_mut(name.as_str()) {
-            *known = row;
+    /// Records a request of a follower. A new follower is ignored while the table is full.
+    pub fn record_request(
+        &mut self,
+        Caller { name, unapplied_records }: &Caller,
+        version: Version,
+        has_current_records: bool,
+        now: Instant,
+    ) {
+        let entry = FollowerEntry {
+            version,
+            has_current_records,
+            unapplied_records: *unapplied_records,
+            last_request_at: now,
+        };
+        if let Some(known) = self.entries.get_mut(name.as_str()) {
+            *known = entry;
             return;
         }
-        if self.rows.len() >= self.most {
-            self.forget(now);
+        if self.entries.len() >= self.capacity {
+            self.remove_expired(now);
         }
-        if self.rows.len() < self.most {
-            self.rows.insert(name.clone(), row);
+        if self.entries.len() < self.capacity {
+            self.entries.insert(name.clone(), entry);
         }
     }
 
-    /// All that have called lately.
-    pub fn list(&mut self, now: Instant) -> Vec<Follower> {
-        self.forget(now);
-        let follower = |(name, row): (&String, &Row)| Follower {
-            name: name.clone(),
-            version: row.version,
-            in_sync: row.has_all && row.refused == 0,
-            refused: row.refused,
-            seen_ms: u64::try_from(now.duration_since(row.seen).as_millis()).unwrap_or(u64::MAX),
+    /// All followers with a recent request.
+    pub fn list(&mut self, now: Instant) -> Vec<FollowerState> {
+        self.remove_expired(now);
+        let state = |(name, entry): (&String, &FollowerEntry)| {
+            let last_request_age = now.duration_since(entry.last_request_at);
+            FollowerState {
+                name: name.clone(),
+                version: entry.version,
+                in_sync: entry.has_current_records && entry.unapplied_records == 0,
+                unapplied_records: entry.unapplied_records,
+                last_request_age_ms: u64::try_from(last_request_age.as_millis()).unwrap_or(u64::MAX),
+            }
         };
-        self.rows.iter().map(follower).collect()
+        self.entries.iter().map(state).collect()
     }
 
-    fn forget(&mut self, now: Instant) {
-        self.rows.retain(|_, row| now.duration_since(row.seen) < FORGOTTEN_AFTER);
+    fn remove_expired(&mut self, now: Instant) {
+        self.entries.retain(|_, entry| now.duration_since(entry.last_request_at) < FOLLOWER_EXPIRY);
     }
 }
--- a/crates/pondlb-lab/src/judge.rs
+++ b/crates/pondlb-lab/src/judge.rs
@@ -1,4 +1,5 @@
-//! The four rules, judged from the ledgers of both sides and from nothing that a balancer says of itself.
+//! Checks from the ledgers of a run whether the balancers kept the rules. The judge uses only what clients, upstreams
+//! and discovery recorded, and nothing that a balancer reports about itself.
 
 #[cfg(test)]
 mod tests;
@@ -7,184 +8,250 @@
 
 use serde::Serialize;
 
-use crate::ledger::{Asked, Ledgers, Run, Told};
+use crate::ledger::{ClientRequest, DrainNotice, Ledgers, UpstreamAttempt};
 use crate::scenario::{Effect, Scenario};
 
+/// A balancer exited although nothing had asked it to.
+const RULE_CRASH: &str = "crash";
+/// Each request gets exactly one response, its own, by its deadline, and is not sent to upstreams after that.
+const RULE_ONE_RESPONSE: &str = "1 one answer";
+/// A request takes effect as often as its class allows.
+const RULE_ONE_EFFECT: &str = "2 one effect";
+/// After the grace of a drain no new attempt goes to the upstream.
+const RULE_DRAINS: &str = "3 drains";
+/// A cold upstream is not loaded beyond its collapse.
+const RULE_COLD_UPSTREAMS: &str = "4 cold upstreams";
+/// A request that is rejected without an attempt is rejected by its SLA time.
+const RULE_PARKED: &str = "parked";
+/// Only the balancers that may probe do.
+const RULE_PROBES: &str = "asked";
+/// Neither balancers that probe nor those that do not take the upstreams from the others.
+const RULE_STARVED: &str = "starved";
+
+/// A rule that a balancer broke.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
+pub struct Violation {
+    /// The name of the rule.
     pub rule: &'static str,
-    pub what: String,
+    /// What happened.
+    #[serde(rename = "what")]
+    pub detail: String,
+}
+
+impl Violation {
+    fn new(rule: &'static str, detail: impl Into<String>) -> Violation {
+        Violation { rule, detail: detail.into() }
+    }
 }
 
-/// Times that lie closer together than this can't be told apart: both ends of a connection are served by one
-/// loop, in an order that nobody chose.
-const SLACK: u64 = 50_000;
-/// The load is not what was asked for when more than one in a hundred of its sends is later than this.
-const LATE: u64 = 25_000;
+/// The tolerance of all times, in microseconds. Both ends of a connection are served by one event loop, in an
+/// arbitrary order, so that times closer together than this can't be told apart.
+const TOLERANCE_US: u64 = 50_000;
+/// A run is void if more than one in a hundred of its sends and timer ticks is later than this, in microseconds: its
+/// load is not the planned one.
+const MAX_LATENESS_US: u64 = 25_000;
 
-/// Why the run says nothing, if it does not.
-pub fn void(ledgers: &Ledgers) -> Option<String> {
-    if ledgers.short > 0 {
-        return Some(format!("the laboratory ran out of descriptors, {} times", ledgers.short));
-    }
-    let late = ledgers.late.iter().filter(|late| **late > LATE).count();
-    (100 * late > ledgers.late.len()).then(|| {
-        format!("{late} of {} sends and ticks were over {} ms late", ledgers.late.len(), LATE / 1000)
+/// Why the run says nothing about the balancers; `None` if it counts.
+pub fn void_reason(ledgers: &Ledgers) -> Option<String> {
+    if ledgers.descriptor_shortages > 0 {
+        return Some(format!(
+            "the laboratory ran out of file descriptors {} times",
+            ledgers.descriptor_shortages
+        ));
+    }
+    let total = ledgers.lateness_us.len();
+    let late = ledgers.lateness_us.iter().filter(|lateness_us| **lateness_us > MAX_LATENESS_US).count();
+    (100 * late > total).then(|| {
+        format!("{late} of {total} sends and timer ticks were over {} ms late", MAX_LATENESS_US / 1000)
     })
 }
 
-pub fn judge(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
-    ledgers.runs.iter().for_each(|run| runs.entry(&run.id).or_default().push(run));
+/// All violations of the rules in a run.
+pub fn find_violations(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut attempts_by_id: BTreeMap<&str, Vec<&UpstreamAttempt>> = BTreeMap::new();
+    for attempt in &ledgers.attempts {
+        attempts_by_id.entry(&attempt.id).or_default().push(attempt);
+    }
     for crash in &ledgers.crashes {
-        let what = format!(
-            "balancer {} ended by itself, {}, at {} ms",
-            crash.balancer,
-            crash.status,
-            crash.at / 1000
-        );
-        broken.push(Broken { rule: "crash", what });
-    }
-    for asked in &ledgers.asked {
-        let runs = runs.remove(&*asked.id).unwrap_or_default();
-        // What a crash takes with it is the crash's, which is said once.
-        let crashed = ledgers.crashes.iter().any(|c| c.balancer == asked.balancer && asked.intended <= c.at);
-        let found = of_one(scenario, asked, &runs, asked.killed || crashed);
-        broken.extend(
-            found.into_iter().map(|(rule, what)| Broken { rule, what: format!("{}: {what}", asked.id) }),
-        );
+        let (balancer, status, at_ms) = (crash.balancer, &crash.status, crash.at_us / 1000);
+        let detail = format!("balancer {balancer} exited unexpectedly with {status} at {at_ms} ms");
+        violations.push(Violation::new(RULE_CRASH, detail));
+    }
+    for request in &ledgers.requests {
+        let attempts = attempts_by_id.remove(&*request.id).unwrap_or_default();
+        // Requests lost in a crash are not violations of their own: the crash is reported once.
+        let in_crash = ledgers
+            .crashes
+            .iter()
+            .any(|crash| crash.balancer == request.balancer && request.intended_us <= crash.at_us);
+        let may_be_lost = request.balancer_killed || in_crash;
+        let found = request_violations(scenario, request, &attempts, may_be_lost);
+        violations.extend(found.into_iter().map(|violation| {
+            Violation::new(violation.rule, format!("{}: {}", request.id, violation.detail))
+        }));
     }
-    for id in runs.keys() {
-        broken.push(Broken { rule: "1 one answer", what: format!("{id} was posted and nobody asked it") });
+    for id in attempts_by_id.keys() {
+        violations.push(Violation::new(RULE_ONE_RESPONSE, format!("{id} was posted but no client sent it")));
     }
-    broken.extend(kinds(scenario, ledgers));
-    broken.extend(drains(scenario, ledgers));
-    broken.extend(cold(scenario, ledgers));
-    broken
+    violations.extend(probing_violations(scenario, ledgers));
+    violations.extend(drain_violations(scenario, ledgers));
+    violations.extend(cold_upstream_violations(scenario, ledgers));
+    violations
 }
 
-fn of_one(scenario: &Scenario, asked: &Asked, runs: &[&Run], excused: bool) -> Vec<(&'static str, String)> {
-    let class = &scenario.classes[asked.class];
-    let mut found = Vec::new();
-    let Some(sent) = asked.sent else { return found };
-    let deadline = sent + class.deadline_ms * 1000;
-    let ran = runs.iter().filter(|run| run.began.is_some()).count();
-    let rejected = matches!(asked.status, 429 | 503);
-    match asked.answered {
-        None if !excused => found.push(("1 one answer", "got none".into())),
-        Some(at) if at > deadline + SLACK => {
-            found.push(("1 one answer", format!("came {} ms after the expiry", (at - deadline) / 1000)));
+/// The violations at one request. With `may_be_lost`, its balancer was killed or crashed, and a missing response is
+/// none.
+fn request_violations(
+    scenario: &Scenario,
+    request: &ClientRequest,
+    attempts: &[&UpstreamAttempt],
+    may_be_lost: bool,
+) -> Vec<Violation> {
+    let class = &scenario.classes[request.class];
+    let mut violations = Vec::new();
+    let mut report = |rule: &'static str, detail: String| violations.push(Violation::new(rule, detail));
+    let Some(sent_us) = request.sent_us else { return violations };
+    let deadline_us = sent_us + class.deadline_ms * 1000;
+    let runs = attempts.iter().filter(|attempt| attempt.started_us.is_some()).count();
+    let is_rejected = matches!(request.status, 429 | 503);
+    match request.answered_us {
+        None if !may_be_lost => report(RULE_ONE_RESPONSE, "got no response".into()),
+        Some(answered_us) if answered_us > deadline_us + TOLERANCE_US => {
+            let late_ms = (answered_us - deadline_us) / 1000;
+            report(RULE_ONE_RESPONSE, format!("was answered {late_ms} ms after its deadline"));
         }
         _ => {}
     }
-    if asked.answers > 1 {
-        found.push(("1 one answer", format!("{} came", asked.answers)));
+    if request.answer_count > 1 {
+        report(RULE_ONE_RESPONSE, format!("got {} responses", request.answer_count));
     }
-    if asked.status == 200 && !runs.iter().any(|run| run.answer.as_deref() == Some(&*asked.body)) {
-        found.push(("1 one answer", "its answer was not made for it".into()));
+    let is_own_response = |attempt: &&UpstreamAttempt| attempt.answer_body.as_deref() == Some(&*request.body);
+    if request.status == 200 && !attempts.iter().any(is_own_response) {
+        report(RULE_ONE_RESPONSE, "got a response that no upstream made for it".into());
     }
-    let end = asked.answered.unwrap_or(deadline).min(deadline);
-    if let Some(run) = runs.iter().find(|run| run.first_byte > end + SLACK) {
-        let late = (run.first_byte - end) / 1000;
-        found.push(("1 one answer", format!("posted to upstream {} {late} ms after its end", run.upstream)));
+    let end_us = request.answered_us.unwrap_or(deadline_us).min(deadline_us);
+    if let Some(attempt) = attempts.iter().find(|attempt| attempt.first_byte_us > end_us + TOLERANCE_US) {
+        let late_ms = (attempt.first_byte_us - end_us) / 1000;
+        let detail = format!("posted to upstream {} {late_ms} ms after its end", attempt.upstream);
+        report(RULE_ONE_RESPONSE, detail);
     }
-    if class.effect == Effect::NonIdempotent && ran > 1 {
-        found.push(("2 one effect", format!("ran {ran} times")));
+    if class.effect == Effect::NonIdempotent && runs > 1 {
+        report(RULE_ONE_EFFECT, format!("ran {runs} times"));
     }
-    if class.effect != Effect::Idempotent && ran > 0 && rejected {
-        found.push(("2 one effect", "was declined and had run".into()));
+    if class.effect != Effect::Idempotent && runs > 0 && is_rejected {
+        report(RULE_ONE_EFFECT, "was declined although it had run".into());
     }
-    let group = |run: &&Run| scenario.fleet().get(run.upstream).map(|machine| machine.group);
-    if class.effect == Effect::Keyed && runs.windows(2).any(|two| group(&two[0]) != group(&two[1])) {
-        found.push(("2 one effect", "left its group".into()));
+    let specs = scenario.upstream_specs();
+    let group = |attempt: &UpstreamAttempt| specs.get(attempt.upstream).map(|spec| spec.group);
+    let changes_group = |two: &[&UpstreamAttempt]| group(two[0]) != group(two[1]);
+    if class.effect == Effect::Keyed && attempts.windows(2).any(changes_group) {
+        report(RULE_ONE_EFFECT, "was posted to two deduplication groups".into());
     }
-    let both = |two: &[&Run]| two[0].ended.is_none_or(|ended| two[1].first_byte + SLACK < ended);
-    if scenario.asking.contains(&asked.balancer) && runs.windows(2).any(both) {
-        found.push(("2 one effect", "had two postings out".into()));
+    let overlap = |two: &[&UpstreamAttempt]| {
+        two[0].ended_us.is_none_or(|ended_us| two[1].first_byte_us + TOLERANCE_US < ended_us)
+    };
+    if scenario.probing_balancers.contains(&request.balancer) && attempts.windows(2).any(overlap) {
+        report(RULE_ONE_EFFECT, "had two attempts outstanding".into());
     }
-    // Given up at its SLA time at the latest: what comes later and was never sent was parked.
-    let wait = asked.answered.map_or(0, |at| at.saturating_sub(sent));
-    if rejected && runs.is_empty() && wait > class.sla_ms * 1000 + SLACK {
-        found.push(("parked", format!("declined after {} ms with nothing posted", wait / 1000)));
+    // A request that was never sent to an upstream has to be given up by its SLA time; a later rejection means that it
+    // was kept waiting.
+    let waited_us = request.answered_us.map_or(0, |answered_us| answered_us.saturating_sub(sent_us));
+    if is_rejected && attempts.is_empty() && waited_us > class.sla_ms * 1000 + TOLERANCE_US {
+        report(RULE_PARKED, format!("was declined after {} ms without an attempt", waited_us / 1000));
     }
-    found
+    violations
 }
 
-/// Those that ask and the others before the same upstreams: who may not ask doesn't, and neither is starved.
-fn kinds(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Broken> {
-    let asks = |balancer: &u32| scenario.asking.contains(balancer);
-    let stranger = ledgers.probes.iter().find(|balancer| !asks(balancer));
-    let mut broken: Vec<Broken> = stranger
-        .map(|balancer| Broken { rule: "asked", what: format!("balancer {balancer} may ask nobody") })
+/// Checks that only the balancers that may probe do, and that neither they nor the others are starved by sharing the
+/// upstreams.
+fn probing_violations(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Violation> {
+    let may_probe = |balancer: &u32| scenario.probing_balancers.contains(balancer);
+    let forbidden = ledgers.probe_senders.iter().find(|balancer| !may_probe(balancer));
+    let mut violations: Vec<Violation> = forbidden
+        .map(|balancer| {
+            Violation::new(RULE_PROBES, format!("balancer {balancer} sent a probe but may not probe"))
+        })
         .into_iter()
         .collect();
-    for kind in [true, false] {
-        let of_kind = ledgers.asked.iter().filter(|asked| asks(&asked.balancer) == kind);
-        let (mut all, mut in_time) = (0.0, 0.0);
-        for asked in of_kind {
-            all += 1.0;
-            let sla = scenario.classes[asked.class].sla_ms * 1000;
-            let timely = asked.answered.is_some_and(|at| at <= asked.intended + sla) && asked.status == 200;
-            in_time += if timely { 1.0 } else { 0.0 };
+    for probes in [true, false] {
+        let (mut total, mut in_time) = (0.0, 0.0);
+        for request in ledgers.requests.iter().filter(|request| may_probe(&request.balancer) == probes) {
+            total += 1.0;
+            let sla_us = scenario.classes[request.class].sla_ms * 1000;
+            let is_timely =
+                request.answered_us.is_some_and(|answered_us| answered_us <= request.intended_us + sla_us);
+            in_time += if is_timely && request.status == 200 { 1.0 } else { 0.0 };
         }
-        if in_time < scenario.least_in_time * all {
-            let who = if kind { "who asks" } else { "who asks nobody" };
-            let what = format!("{who} had {:.2} in time", in_time / all);
-            broken.push(Broken { rule: "starved", what });
+        if in_time < scenario.min_in_time_share * total {
+            let group = if probes { "balancers that probe" } else { "balancers that do not probe" };
+            let detail = format!("{group} served a share of {:.2} in time", in_time / total);
+            violations.push(Violation::new(RULE_STARVED, detail));
         }
     }
-    broken
+    violations
 }
 
-fn drains(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Broken> {
-    let grace = scenario.rules.drain_grace_ms * 1000 + SLACK;
-    let late = |told: &Told| {
-        let mine =
-            |run: &&Run| (run.upstream, run.life, run.balancer) == (told.upstream, told.life, told.balancer);
-        ledgers.runs.iter().filter(mine).find(|run| run.first_byte > told.at + grace).map(|run| Broken {
-            rule: "3 drains",
-            what: format!(
-                "{}: balancer {} posted to upstream {} {} ms after it was told of its drain",
-                run.id,
-                told.balancer,
-                told.upstream,
-                (run.first_byte - told.at) / 1000
-            ),
-        })
+/// The first late attempt of each balancer at each upstream of whose drain it was told.
+fn drain_violations(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Violation> {
+    let grace_us = scenario.rules.drain_grace_ms * 1000 + TOLERANCE_US;
+    let late_attempt = |notice: &DrainNotice| {
+        let is_of_notice = |attempt: &&UpstreamAttempt| {
+            (attempt.upstream, attempt.incarnation, attempt.balancer)
+                == (notice.upstream, notice.incarnation, notice.balancer)
+        };
+        let late = ledgers
+            .attempts
+            .iter()
+            .filter(is_of_notice)
+            .find(|attempt| attempt.first_byte_us > notice.at_us + grace_us)?;
+        let detail = format!(
+            "{}: balancer {} posted to upstream {} {} ms after it was told of its drain",
+            late.id,
+            notice.balancer,
+            notice.upstream,
+            (late.first_byte_us - notice.at_us) / 1000
+        );
+        Some(Violation::new(RULE_DRAINS, detail))
     };
-    ledgers.told.iter().filter_map(late).collect()
+    ledgers.drain_notices.iter().filter_map(late_attempt).collect()
 }
 
-/// In each window of the rule that ends with an attempt, the work that came against what a cold one bears.
-fn cold(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Broken> {
-    let (rules, fleet) = (&scenario.rules, scenario.fleet());
-    let (window, warm) = (rules.fall_ms * 1000, rules.warm_ms * 1000);
-    let mut broken = Vec::new();
-    for boot in &ledgers.boots {
-        let Some(machine) = fleet.get(boot.upstream) else { continue };
-        let capacity = f64::from(machine.cores) * machine.speed;
-        let here =
-            |run: &&Run| run.upstream == boot.upstream && (boot.at..boot.at + warm).contains(&run.last_byte);
-        let mut runs: Vec<&Run> = ledgers.runs.iter().filter(here).collect();
-        runs.sort_by_key(|run| run.last_byte);
-        for (n, last) in runs.iter().enumerate() {
-            let from = last.last_byte.saturating_sub(window);
-            let work: u64 = runs[..=n].iter().filter(|run| run.last_byte >= from).map(|run| run.work).sum();
-            let age = (last.last_byte - boot.at) as f64 / warm as f64;
-            let present = rules.cold_share + (1.0 - rules.cold_share) * age;
-            if work as f64 > rules.fall_multiple * present * capacity * window as f64 {
-                let what = format!(
+/// Checks each cold start: in every collapse window that ends with an attempt, the work that arrived must stay below
+/// the load under which the upstream, as warm as it was, collapses.
+fn cold_upstream_violations(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Violation> {
+    let (rules, specs) = (&scenario.rules, scenario.upstream_specs());
+    let (window_us, warm_up_us) = (rules.collapse_window_ms * 1000, rules.warm_up_ms * 1000);
+    let mut violations = Vec::new();
+    for start in &ledgers.upstream_starts {
+        let Some(spec) = specs.get(start.upstream) else { continue };
+        let capacity = f64::from(spec.cores) * spec.speed_factor;
+        let is_during_warm_up = |attempt: &&UpstreamAttempt| {
+            attempt.upstream == start.upstream
+                && (start.at_us..start.at_us + warm_up_us).contains(&attempt.last_byte_us)
+        };
+        let mut attempts: Vec<&UpstreamAttempt> = ledgers.attempts.iter().filter(is_during_warm_up).collect();
+        attempts.sort_by_key(|attempt| attempt.last_byte_us);
+        for (index, last) in attempts.iter().enumerate() {
+            let window_start_us = last.last_byte_us.saturating_sub(window_us);
+            let in_window =
+                attempts[..=index].iter().filter(|attempt| attempt.last_byte_us >= window_start_us);
+            let work_us: u64 = in_window.map(|attempt| attempt.work_us).sum();
+            let warm_share = (last.last_byte_us - start.at_us) as f64 / warm_up_us as f64;
+            let capacity_share =
+                rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warm_share;
+            if work_us as f64 > rules.collapse_load_factor * capacity_share * capacity * window_us as f64 {
+                let detail = format!(
                     "upstream {} got {} ms of work in {} ms, {} ms after its start",
-                    boot.upstream,
-                    work / 1000,
-                    rules.fall_ms,
-                    (last.last_byte - boot.at) / 1000
+                    start.upstream,
+                    work_us / 1000,
+                    rules.collapse_window_ms,
+                    (last.last_byte_us - start.at_us) / 1000
                 );
-                broken.push(Broken { rule: "4 cold upstreams", what });
+                violations.push(Violation::new(RULE_COLD_UPSTREAMS, detail));
                 break;
             }
         }
     }
-    broken
+    violations
 }
--- a/crates/pondlb-lab/src/scale/hollow_process.rs
+++ b/crates/pondlb-lab/src/scale/hollow_process.rs
@@ -11,7 +11,7 @@
 
 use clap::ValueEnum;
 use pondlb_control::{KeyInterner, Limits};
-use pondlb_control_net::{Delivered, Following, Status, follow};
+use pondlb_control_net::{FollowerConfig, FollowerStatus, UpdateDelivery, follow};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::unix::pipe::{Receiver, Sender};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
@@ -76,7 +76,7 @@
     number: u32,
     consumer: RefCell<Consumer>,
     /// The status of the control client since the last restart.
-    status: RefCell<Rc<Status>>,
+    status: RefCell<Rc<FollowerStatus>>,
     /// The sum of the counters of all control clients before the last restart.
     counters_before_restart: Cell<Counters>,
     /// The number of updates that were applied.
@@ -97,16 +97,16 @@
 }
 
 impl Counters {
-    fn from_status(status: &Status) -> Counters {
+    fn from_status(status: &FollowerStatus) -> Counters {
         let counters = status.counters();
         Counters {
             received: counters.bytes_received,
             sent: counters.bytes_sent,
-            rejections: counters.rejections,
-            repairs: counters.repairs,
-            snapshots: counters.snapshots,
-            calls: counters.calls,
-            failures: counters.failures,
+            rejections: counters.rejected_responses,
+            repairs: counters.repairs_started,
+            snapshots: counters.snapshots_started,
+            calls: counters.requests_sent,
+            failures: counters.failed_requests,
         }
     }
 
@@ -151,7 +151,7 @@
 
     fn byte_counts(&self) -> BalancerBytes {
         let Counters { received, sent, .. } = self.counters();
-        BalancerBytes { balancer: self.number, received, sent, server: self.status.borrow().server() }
+        BalancerBytes { balancer: self.number, received, sent, server: self.status.borrow().current_server() }
     }
 
     fn final_state(&self) -> FinalState {
@@ -197,26 +197,26 @@
     async fn run_balancer(self: Rc<Self>, balancer: Rc<HollowBalancer>) {
         let Ok(permit) = self.snapshot_permits.clone().acquire_owned().await else { return };
         let (deliver, updates) = mpsc::unbounded_channel();
-        let status = Rc::new(Status::default());
+        let status = Rc::new(FollowerStatus::default());
         balancer.status.replace(status.clone());
         let follower = follow(self.follower_options(balancer.number), |_, _| Ok(()), deliver, status);
         tokio::join!(follower, self.apply_updates(&balancer, updates, permit));
     }
 
-    fn follower_options(&self, number: u32) -> Following {
+    fn follower_options(&self, number: u32) -> FollowerConfig {
         let regions = self.assignment.servers.len().max(1);
         let servers = self.assignment.servers.get(number as usize % regions);
         // Followers are spread over servers by their number, so they are numbered within each region.
         let number_in_region = u64::from(number) / regions as u64;
-        Following {
+        FollowerConfig {
             servers: servers.cloned().unwrap_or_default(),
             name: format!("hollow-{number}"),
-            number: number_in_region,
+            follower_number: number_in_region,
             seed: self.assignment.seed ^ u64::from(number),
-            hold: Duration::from_millis(self.assignment.hold_ms),
-            late: MAX_ANSWER_DELAY,
+            max_hold: Duration::from_millis(self.assignment.hold_ms),
+            response_grace: MAX_ANSWER_DELAY,
             limits: Limits::default(),
-            names: self.key_interner.clone(),
+            key_interner: self.key_interner.clone(),
         }
     }
 
@@ -224,11 +224,11 @@
     async fn apply_updates(
         &self,
         balancer: &HollowBalancer,
-        mut updates: mpsc::UnboundedReceiver<Delivered>,
+        mut updates: mpsc::UnboundedReceiver<UpdateDelivery>,
         first_snapshot_permit: OwnedSemaphorePermit,
     ) {
         let mut first_snapshot_permit = Some(first_snapshot_permit);
-        while let Some(Delivered { update, in_force }) = updates.recv().await {
+        while let Some(UpdateDelivery { update, applied }) = updates.recv().await {
             if self.has_stopped_polling(balancer) {
                 // The control client makes its next call only after this update is acknowledged, which never happens.
                 std::future::pending::<()>().await;
@@ -246,7 +246,7 @@
             self.pending_in_force.borrow_mut().push(in_force_report);
             balancer.updates.set(balancer.updates.get() + 1);
             // Fails only if the control client has ended.
-            let _acknowledged = in_force.send(());
+            let _acknowledged = applied.send(());
             drop(first_snapshot_permit.take());
         }
     }
--- a/crates/pondlb-lab/src/scale/hollow_processes.rs
+++ b/crates/pondlb-lab/src/scale/hollow_processes.rs
@@ -19,7 +19,7 @@
 use super::message::{Assignment, FinalState, HollowCommand, HollowReport, InForce};
 use super::scenario::Scenario;
 use super::server_loads::ServerLoadReading;
-use crate::holding::held;
+use crate::child_process::command_killed_with_parent;
 
 /// The sub-command of the laboratory's program that runs a hollow process.
 pub const HOLLOW_SUBCOMMAND: &str = "hollow";
@@ -143,7 +143,7 @@
         let file: PathBuf = self.folder.path().join(format!("{number}.json"));
         std::fs::write(&file, serde_json::to_vec(assignment)?)?;
         let log = File::create(self.folder.path().join(format!("{number}.log")))?;
-        let mut child = held(&std::env::current_exe()?)?
+        let mut child = command_killed_with_parent(&std::env::current_exe()?)?
             .arg(HOLLOW_SUBCOMMAND)
             .arg(file)
             .args(arguments)
--- a/crates/pondlb-lab/src/scale/real.rs
+++ b/crates/pondlb-lab/src/scale/real.rs
@@ -14,10 +14,10 @@
 use super::records::{TRAFFIC_CLASSES, zone_name};
 use super::scenario::Scenario;
 use super::tap::{Tap, TapLog};
-use crate::balancers::{Balancers, Program, Restart};
+use crate::balancers::{Balancers, Program, RestartDurations};
 use crate::fleet::Fleet;
-use crate::ledger::{Asked, Ledgers, Told};
-use crate::scenario::{self as traffic, Class, Effect, Machine, Rules};
+use crate::ledger::{ClientRequest, DrainNotice, Ledgers};
+use crate::scenario::{self as traffic, Class, Effect, Rules, UpstreamSpec};
 
 /// The memory limit of a real balancer in MB. The list of upstreams is longer than in a common deployment.
 const BALANCER_MEMORY_MB: u32 = 1024;
@@ -57,7 +57,7 @@
     /// When the new process was started, by the monotonic clock in microseconds.
     pub started_at_us: u64,
     /// How long the stop and the start took.
-    pub durations: Restart,
+    pub durations: RestartDurations,
 }
 
 impl RealBalancers {
@@ -183,26 +183,26 @@
         sla_ms: options.sla_ms,
         deadline_ms: options.expiry_ms,
         value: 1.0,
-        rate,
+        requests_per_second: rate,
         work_ms: options.work_ms,
-        heavy: 0.0,
+        heavy_share: 0.0,
     };
-    let machine = Machine {
+    let machine = UpstreamSpec {
         count: options.served_upstreams,
         zone: "a".into(),
         group: 0,
         cores: options.cores,
-        speed: 1.0,
-        waiting: MAX_WAITING_REQUESTS,
-        connections: MAX_CONNECTIONS,
+        speed_factor: 1.0,
+        max_queued: MAX_WAITING_REQUESTS,
+        max_connections: MAX_CONNECTIONS,
         handshake_ms: 0.0,
     };
     traffic::Scenario {
         seed,
         seconds: scenario.total_seconds(),
         balancers: targets,
-        asking: Vec::new(),
-        least_in_time: 0.0,
+        probing_balancers: Vec::new(),
+        min_in_time_share: 0.0,
         rules: Rules::default(),
         upstreams: vec![machine],
         classes: vec![
@@ -219,18 +219,18 @@
     /// The requests through balancers, with everything that the judge needs.
     pub balanced: Ledgers,
     /// The requests that went directly to the upstreams.
-    pub direct: Vec<Asked>,
+    pub direct: Vec<ClientRequest>,
 }
 
 /// Separates the ledgers of both kinds of traffic. An upstream can't tell the balancers apart, because all of them use
 /// the same address of it, so the balancer of an upstream's run is taken from the request with the same id.
 pub fn split_ledgers(mut ledgers: Ledgers, direct_ids: &HashSet<String>) -> TrafficLedgers {
-    let (direct, asked) = ledgers.asked.drain(..).partition(|asked| direct_ids.contains(&asked.id));
-    ledgers.asked = asked;
-    ledgers.runs.retain(|run| !direct_ids.contains(&run.id));
+    let (direct, asked) = ledgers.requests.drain(..).partition(|asked| direct_ids.contains(&asked.id));
+    ledgers.requests = asked;
+    ledgers.attempts.retain(|run| !direct_ids.contains(&run.id));
     let balancers_by_id: HashMap<&str, u32> =
-        ledgers.asked.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
-    for run in &mut ledgers.runs {
+        ledgers.requests.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
+    for run in &mut ledgers.attempts {
         run.balancer = balancers_by_id.get(&*run.id).copied().unwrap_or(run.balancer);
     }
     TrafficLedgers { balanced: ledgers, direct }
@@ -243,14 +243,14 @@
     upstream: u32,
     revision: u64,
     to_book: impl Fn(u64) -> u64,
-) -> Vec<Told> {
+) -> Vec<DrainNotice> {
     let notice = |(balancer, series): (usize, &Vec<InForce>)| {
         let first = series.iter().find(|in_force| in_force.revision >= revision)?;
-        Some(Told {
+        Some(DrainNotice {
             balancer: balancer as u32,
             upstream: upstream as usize,
-            life: 0,
-            at: to_book(first.at_us),
+            incarnation: 0,
+            at_us: to_book(first.at_us),
         })
     };
     series.iter().enumerate().filter_map(notice).collect()
--- a/crates/pondlb-lab/src/scale/report.rs
+++ b/crates/pondlb-lab/src/scale/report.rs
@@ -9,7 +9,7 @@
 use super::scenario::PhaseKind;
 use super::server_loads::ServerLoads;
 use super::usage::RoleUsage;
-use crate::judge::Broken;
+use crate::judge::Violation;
 
 /// The number of failures, and of broken rules, that the text lists at most.
 const MAX_LISTED: usize = 20;
@@ -22,7 +22,7 @@
     /// Failures that do not depend on times: missing convergence, updates in the wrong order, processes that exited.
     pub failures: Vec<String>,
     /// The rules that the traffic has broken, according to the judge.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// The numbers of processes and records.
     pub sizes: Sizes,
     /// How the run differs from the deployment that it stands for, and how its times are measured.
@@ -424,7 +424,7 @@
         write_list(
             to,
             "broken",
-            self.broken.iter().map(|broken| format!("{}: {}", broken.rule, broken.what)),
+            self.broken.iter().map(|broken| format!("{}: {}", broken.rule, broken.detail)),
         )?;
         match (self.verdict(), &self.void) {
             (Verdict::Void, Some(why)) => writeln!(to, "void: {why}"),
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -27,9 +27,9 @@
 use super::timeline::{self, Action, Step};
 use super::usage::{Role, Sample};
 use crate::balancers::Program;
-use crate::fleet::{Book, Fleet};
-use crate::ledger::Crash;
-use crate::load::{self, Door, Failover};
+use crate::fleet::{Fleet, Recorder};
+use crate::ledger::BalancerCrash;
+use crate::load::{self, Endpoint, Failover};
 
 /// The delay from the moment when all processes are ready to the start of the first phase, in microseconds.
 const START_DELAY_US: u64 = 200_000;
@@ -65,7 +65,7 @@
 struct Run {
     scenario: Scenario,
     /// The ledgers of the traffic, with their own clock in microseconds.
-    book: Rc<Book>,
+    book: Rc<Recorder>,
     /// The start of the book's clock, by the monotonic clock in microseconds.
     book_start_us: u64,
     /// The emulated upstreams. They end when this is dropped.
@@ -111,10 +111,11 @@
 
 impl Run {
     async fn start(programs: &Programs, scenario: Scenario) -> io::Result<Run> {
-        let book = Book::open();
-        let book_start_us = clock::now_us() - book.now();
+        let book = Recorder::new();
+        let book_start_us = clock::now_us() - book.now_us();
         let traffic = balanced_traffic(&scenario);
-        let fleet = Fleet::start(book.clone(), traffic.fleet(), &traffic.rules, scenario.real_balancers)?;
+        let fleet =
+            Fleet::start(book.clone(), traffic.upstream_specs(), &traffic.rules, scenario.real_balancers)?;
         let records = Records::new(&scenario, &fleet);
         let steps = timeline::build_timeline(&scenario, &records);
         let servers =
@@ -191,18 +192,18 @@
 
     /// Plays the timeline while traffic goes through the real balancers and directly to the upstreams.
     async fn play_phases(&mut self) -> io::Result<()> {
-        self.phases_start_book_us = self.book.now() + START_DELAY_US;
+        self.phases_start_book_us = self.book.now_us() + START_DELAY_US;
         let (book, start_us) = (self.book.clone(), self.phases_start_book_us);
         let balanced_scenario = Rc::new(balanced_traffic(&self.scenario));
         let direct_scenario = Rc::new(direct_traffic(&self.scenario));
         let balancer_targets: Vec<_> =
-            self.real.balancers.addresses.iter().map(|address| Door::new(*address)).collect();
+            self.real.balancers.addresses.iter().map(|address| Endpoint::new(*address)).collect();
         let upstream_targets: Vec<_> =
-            self.fleet.upstreams.iter().map(|upstream| Door::new(upstream.address_of(0))).collect();
+            self.fleet.upstreams.iter().map(|upstream| Endpoint::new(upstream.address_for(0))).collect();
         let direct_plan = direct_scenario.plan();
         self.direct_ids = direct_plan.iter().map(|planned| planned.id.clone()).collect();
         let balanced_plan = balanced_scenario.plan();
-        let balanced_load = load::follow(
+        let balanced_load = load::send_planned(
             &balanced_scenario,
             balanced_plan,
             &balancer_targets,
@@ -210,8 +211,14 @@
             &book,
             start_us,
         );
-        let direct_load =
-            load::follow(&direct_scenario, direct_plan, &upstream_targets, Failover::Never, &book, start_us);
+        let direct_load = load::send_planned(
+            &direct_scenario,
+            direct_plan,
+            &upstream_targets,
+            Failover::Never,
+            &book,
+            start_us,
+        );
         let (result, (), ()) = tokio::join!(self.play_steps(), balanced_load, direct_load);
         result
     }
@@ -221,16 +228,16 @@
         let mut steps = std::mem::take(&mut self.steps).into_iter().peekable();
         let bounds = timeline::phase_bounds_us(&self.scenario.phases);
         for (phase, (start_us, end_us)) in bounds.into_iter().enumerate() {
-            sleep_until(self.book.instant(self.phases_start_book_us + start_us)).await;
+            sleep_until(self.book.instant_at(self.phases_start_book_us + start_us)).await;
             eprintln!("{}", self.scenario.phases[phase].name);
             self.sample_usage();
             while let Some(step) = steps.next_if(|step| step.phase == phase) {
                 let at_us = self.phases_start_book_us + step.at_us;
-                sleep_until(self.book.instant(at_us)).await;
-                self.latest_step_us = self.latest_step_us.max(self.book.now().saturating_sub(at_us));
+                sleep_until(self.book.instant_at(at_us)).await;
+                self.latest_step_us = self.latest_step_us.max(self.book.now_us().saturating_sub(at_us));
                 self.execute(step).await?;
             }
-            sleep_until(self.book.instant(self.phases_start_book_us + end_us)).await;
+            sleep_until(self.book.instant_at(self.phases_start_book_us + end_us)).await;
             self.record_unexpected_exits();
         }
         self.sample_usage();
@@ -315,7 +322,7 @@
         let servers = self.servers.process_ids().into_iter().enumerate();
         let servers =
             servers.map(|(number, id)| (if number == 0 { Role::Origin } else { Role::ReplicaServer }, id));
-        let real = self.real.balancers.processes().into_iter().map(|id| (Role::RealBalancer, id));
+        let real = self.real.balancers.process_ids().into_iter().map(|id| (Role::RealBalancer, id));
         let hollow = self.hollow.process_ids().into_iter().map(|id| (Role::HollowProcess, id));
         let own = std::iter::once((Role::Laboratory, std::process::id()));
         self.usage_samples.push(Sample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
@@ -331,10 +338,10 @@
             }
         }
         let mut ledgers = self.book.ledgers.borrow_mut();
-        for (balancer, status) in self.real.balancers.ended() {
+        for (balancer, status) in self.real.balancers.unexpected_exits() {
             let balancer = balancer as u32;
             if ledgers.crashes.iter().all(|crash| crash.balancer != balancer) {
-                ledgers.crashes.push(Crash { balancer, at: self.book.now(), status });
+                ledgers.crashes.push(BalancerCrash { balancer, at_us: self.book.now_us(), status });
             }
         }
     }
@@ -391,7 +398,7 @@
         for ServedDrain { upstream, revision } in &self.served_drains {
             let to_book = |at_us: u64| at_us.saturating_sub(self.book_start_us);
             let notices = drain_notices(&real_series, *upstream, *revision, to_book);
-            traffic_ledgers.balanced.told.extend(notices);
+            traffic_ledgers.balanced.drain_notices.extend(notices);
         }
         let process_count = self.servers.len()
             + self.scenario.hollow_process_count() as usize
--- a/crates/pondlb-lab/src/scale/scenario.rs
+++ b/crates/pondlb-lab/src/scale/scenario.rs
@@ -7,7 +7,7 @@
 
 use super::records::LIMIT_COUNT;
 use super::servers::{Layout, UNBOUNDED_SNAPSHOT_PIECES_PER_SECOND};
-use crate::scenario::Fault;
+use crate::scenario::ScenarioError;
 
 /// The description of a scale run: the numbers of processes and records, the traffic, and the phases with their events.
 #[derive(Clone, Debug, Deserialize)]
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     /// Returns all faults at once, so that they can be fixed together.
-    pub fn parse(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<Fault>> {
+    pub fn parse(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<ScenarioError>> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| vec![e.to_string().trim().into()])?;
         let mut faults = scenario.validate(memory_bytes, share);
         if !(share > 0.0 && share <= 1.0) {
@@ -299,7 +299,7 @@
     }
 
     /// All faults of the scenario. The memory estimate is checked for the given share, and only if there are no other faults.
-    fn validate(&self, memory_bytes: u64, share: f64) -> Vec<Fault> {
+    fn validate(&self, memory_bytes: u64, share: f64) -> Vec<ScenarioError> {
         let mut faults = Vec::new();
         self.check_sizes(&mut faults);
         self.check_traffic(&mut faults);
@@ -327,7 +327,7 @@
         faults
     }
 
-    fn check_sizes(&self, faults: &mut Vec<Fault>) {
+    fn check_sizes(&self, faults: &mut Vec<ScenarioError>) {
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         let counts = [
             ("balancers", self.balancers, MAX_BALANCERS),
@@ -371,7 +371,7 @@
         );
     }
 
-    fn check_traffic(&self, faults: &mut Vec<Fault>) {
+    fn check_traffic(&self, faults: &mut Vec<ScenarioError>) {
         let traffic = &self.traffic;
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         for (key, rate) in [("rate_each", traffic.rate_each), ("direct_rate", traffic.direct_rate)] {
@@ -419,7 +419,7 @@
         missing.chain(duplicates).chain(count)
     }
 
-    fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<Fault>) {
+    fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<ScenarioError>) {
         let key = |key: &str| format!("phases[{number}].{key}");
         let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
         let seconds = phase.seconds;
--- a/crates/pondlb-lab/src/scale/servers.rs
+++ b/crates/pondlb-lab/src/scale/servers.rs
@@ -16,8 +16,8 @@
 
 use super::proxy::Proxy;
 use crate::balancers::Program;
-use crate::holding::held;
-use crate::http::{Message, Wire};
+use crate::child_process::command_killed_with_parent;
+use crate::http::{HttpConnection, Message};
 
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -128,7 +128,7 @@
     /// The address on which the origin accepts commits.
     commit_address: SocketAddr,
     /// The connection of the last commit, and when the answer was received.
-    commit_connection: Option<(Wire, Instant)>,
+    commit_connection: Option<(HttpConnection, Instant)>,
     /// The proxy through which the replica servers outside the first region reach the origin.
     origin_proxy: Proxy,
 }
@@ -193,7 +193,7 @@
     fn spawn(&mut self, number: usize) -> io::Result<()> {
         let log_file = self.folder.path().join(format!("{}.log", self.servers[number].name));
         let log = File::options().create(true).append(true).open(log_file)?;
-        let child = held(&self.program.path)?
+        let child = command_killed_with_parent(&self.program.path)?
             .args(&self.program.arguments)
             .arg(&self.servers[number].options_file)
             .stdout(log.try_clone()?)
@@ -257,7 +257,7 @@
             .filter(|(_, last_used)| last_used.elapsed() < MAX_COMMIT_CONNECTION_IDLE);
         let mut connection = match reusable {
             Some((connection, _)) => connection,
-            None => Wire::new(TcpStream::connect(self.commit_address).await?),
+            None => HttpConnection::new(TcpStream::connect(self.commit_address).await?),
         };
         let answer = call(&mut connection, &request).await?;
         self.commit_connection = Some((connection, Instant::now()));
@@ -377,16 +377,16 @@
 /// Gets this path on a new connection and parses the JSON of the answer.
 async fn get<T: for<'de> Deserialize<'de>>(server: SocketAddr, path: &str) -> io::Result<T> {
     let stream = timeout(CALL_TIMEOUT, TcpStream::connect(server)).await?;
-    let mut connection = Wire::new(stream?);
+    let mut connection = HttpConnection::new(stream?);
     let answer = call(&mut connection, &format!("GET {path} HTTP/1.1\r\nHost: lab\r\n\r\n")).await?;
     Ok(serde_json::from_str(&answer.body)?)
 }
 
 /// Sends a request and returns its answer. Any status other than 200 is an error.
-async fn call(connection: &mut Wire, request: &str) -> io::Result<Message> {
+async fn call(connection: &mut HttpConnection, request: &str) -> io::Result<Message> {
     let exchange = async {
         connection.write(request).await?;
-        connection.answer().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        connection.read_response().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
     let answer: io::Result<Message> = timeout(CALL_TIMEOUT, exchange).await?;
     let answer = answer?;
--- a/crates/pondlb-lab/src/scale/summary.rs
+++ b/crates/pondlb-lab/src/scale/summary.rs
@@ -22,7 +22,7 @@
 use super::timeline::phase_bounds_us;
 use super::usage::{Role, RoleUsage, Sample};
 use crate::judge;
-use crate::ledger::Asked;
+use crate::ledger::ClientRequest;
 use crate::scenario as traffic;
 
 /// The longest response time that the histogram distinguishes, in microseconds; longer ones count as this.
@@ -106,9 +106,9 @@
         _ => Vec::new(),
     };
     Report {
-        void: judge::void(ledgers),
+        void: judge::void_reason(ledgers),
         failures,
-        broken: judge::judge(data.traffic, ledgers),
+        broken: judge::find_violations(data.traffic, ledgers),
         sizes: size_report(data),
         remarks: remarks(data.scenario),
         start_seconds: data.start_duration.as_secs_f64(),
@@ -229,12 +229,13 @@
 fn traffic_report(data: &RunData, number: usize) -> TrafficReport {
     let bounds = phase_bounds_us(&data.scenario.phases);
     let from = data.phases_start_book_us;
-    let is_in_phase = |asked: &&Asked| {
-        let at = asked.intended.saturating_sub(from);
+    let is_in_phase = |asked: &&ClientRequest| {
+        let at = asked.intended_us.saturating_sub(from);
         bounds.get(number).is_some_and(|(start, end)| (*start..*end).contains(&at))
     };
-    let balanced: Vec<&Asked> = data.traffic_ledgers.balanced.asked.iter().filter(is_in_phase).collect();
-    let direct: Vec<&Asked> = data.traffic_ledgers.direct.iter().filter(is_in_phase).collect();
+    let balanced: Vec<&ClientRequest> =
+        data.traffic_ledgers.balanced.requests.iter().filter(is_in_phase).collect();
+    let direct: Vec<&ClientRequest> = data.traffic_ledgers.direct.iter().filter(is_in_phase).collect();
     let ((p50_ms, p99_ms), (direct_p50_ms, direct_p99_ms)) =
         (response_quantiles_ms(&balanced), response_quantiles_ms(&direct));
     TrafficReport {
@@ -274,8 +275,8 @@
     let milliseconds = |duration: Duration| duration.as_secs_f64() * 1000.0;
     RestartReport {
         balancer: restart.balancer,
-        ending_ms: milliseconds(restart.durations.ending),
-        start_to_serving_ms: milliseconds(restart.durations.starting),
+        ending_ms: milliseconds(restart.durations.shutdown),
+        start_to_serving_ms: milliseconds(restart.durations.startup),
         start_to_in_force_ms: first.map(|first| (first.at_us - restart.started_at_us) as f64 / 1000.0),
     }
 }
@@ -286,17 +287,17 @@
     BALANCER_BUDGET_BYTES_PER_SECOND * f64::from(scenario.balancers) / f64::from(scenario.replica_servers + 1)
 }
 
-fn is_settled(asked: &Asked) -> bool {
-    asked.answered.is_some() && asked.status == SETTLED_STATUS
+fn is_settled(asked: &ClientRequest) -> bool {
+    asked.answered_us.is_some() && asked.status == SETTLED_STATUS
 }
 
 /// The median and the 99th percentile of settled requests, in milliseconds.
-fn response_quantiles_ms(asked: &[&Asked]) -> (f64, f64) {
+fn response_quantiles_ms(asked: &[&ClientRequest]) -> (f64, f64) {
     let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_RESPONSE_US, 3) else {
         return (0.0, 0.0);
     };
     for asked in asked.iter().filter(|asked| is_settled(asked)) {
-        times.saturating_record(asked.answered.unwrap_or_default().saturating_sub(asked.intended));
+        times.saturating_record(asked.answered_us.unwrap_or_default().saturating_sub(asked.intended_us));
     }
     let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     (milliseconds(0.5), milliseconds(0.99))
--- a/crates/pondlb-server/src/program/live_settings.rs
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -6,7 +6,7 @@
 use pondlb_terms::{AppliedChanges, ConfigError, ConnectionLimits, SettingChange, Settings};
 
 use super::service::connect_timeout;
-use crate::routing::{Carrier, Exchange};
+use crate::routing::{Router, Transport};
 use crate::transport::{Frontend, UpstreamPool, tenth_millis_to_duration};
 
 /// The current settings, with the parts that a change of them is applied to.
@@ -18,11 +18,11 @@
 
 impl LiveSettings {
     /// Applies changes by records: all of them or none. Open requests keep the settings with which they arrived.
-    pub fn apply_records<C: Carrier>(
+    pub fn apply_records<C: Transport>(
         &mut self,
         now: TenthMillis,
         changes: &[SettingChange],
-        exchange: &mut Exchange<C>,
+        exchange: &mut Router<C>,
     ) -> Result<(), ConfigError> {
         let applied = self.settings.apply_records(changes)?;
         self.apply(now, applied, exchange);
@@ -31,11 +31,11 @@
 
     /// Applies the settings of a file that was read again: all of them or none. Logs a warning for each changed key
     /// that takes effect only after a restart.
-    pub fn apply_file<C: Carrier>(
+    pub fn apply_file<C: Transport>(
         &mut self,
         now: TenthMillis,
         file: &Settings,
-        exchange: &mut Exchange<C>,
+        exchange: &mut Router<C>,
     ) -> Result<(), ConfigError> {
         let difference = self.settings.diff_with_file(file);
         for key in &difference.restart_keys {
@@ -51,11 +51,11 @@
         self.settings.connection_limits()
     }
 
-    fn apply<C: Carrier>(&self, now: TenthMillis, applied: AppliedChanges, exchange: &mut Exchange<C>) {
+    fn apply<C: Transport>(&self, now: TenthMillis, applied: AppliedChanges, exchange: &mut Router<C>) {
         if applied.changed_count == 0 {
             return;
         }
-        exchange.change(now, &applied.config_changes);
+        exchange.apply_config_changes(now, &applied.config_changes);
         self.frontend.change_classes(applied.class_indices);
         let max_retry_after = self.settings.balancer_limits().max_retry_after;
         self.frontend.overload_retry_after.set(overload_retry_after(max_retry_after));
--- a/crates/pondlb-server/src/program/setup.rs
+++ b/crates/pondlb-server/src/program/setup.rs
@@ -248,7 +248,7 @@
         deployment.balancer_config.probing = probe.is_some();
         let mut initial_list = initial_list.unwrap_or_default();
         // The initial list names all known upstreams, even if it is the answer to a call for changes.
-        initial_list.whole = true;
+        initial_list.is_snapshot = true;
         log::debug!("settings {}", file.settings.get());
         let name = file.name.or_else(|| env("RELAY_NAME")).unwrap_or_else(|| "pondlb".into());
         Ok(Setup {
--- /dev/null
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -0,0 +1,70 @@
+//! Events that the transport reports to the router.
+
+use std::fmt;
+
+use pondlb::{Arrival, Load, Outcome, RequestId, TenthMillis, UpstreamId};
+use pondlb_http::Message;
+use tokio::sync::oneshot;
+
+use crate::protocol::answer::Answer;
+use crate::protocol::discovery::UpstreamList;
+
+/// Identifies an attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    pub request: RequestId,
+    /// The attempts of a request are numbered from 0 in the order in which they are sent.
+    pub number: u32,
+}
+
+impl fmt::Display for AttemptId {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{} {}", self.request, self.number)
+    }
+}
+
+/// How an attempt ended.
+#[derive(Debug)]
+pub struct AttemptResult {
+    pub outcome: Outcome,
+    /// The answer for the client, if this result decides it.
+    pub final_answer: Option<Answer>,
+    /// The load that the upstream reported with its answer.
+    pub load: Load,
+}
+
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> Self {
+        AttemptResult { outcome, final_answer: None, load: Load::default() }
+    }
+}
+
+/// What connections and calls report to the router.
+pub enum RouterEvent {
+    /// A client has sent a request.
+    RequestArrived { arrival: Arrival, message: Message, answer_sender: oneshot::Sender<Answer> },
+    /// A client has closed its connection before its answer.
+    ClientDisconnected { request: RequestId },
+    /// An attempt has ended.
+    AttemptEnded { attempt: AttemptId, result: AttemptResult },
+    /// A probe of an upstream's load has ended.
+    ProbeEnded { upstream: UpstreamId, outcome: Outcome, duration: TenthMillis, load: Load },
+    /// Discovery has answered with a list.
+    ListReceived(UpstreamList),
+    /// Control servers have changed upstreams.
+    UpstreamsChanged {
+        upstreams: UpstreamList,
+        /// Whether these are the last upstreams of the first snapshot.
+        completes_snapshot: bool,
+        /// Notified once the changes are in force.
+        applied_sender: oneshot::Sender<()>,
+    },
+    /// The list was up to date at that time, or discovery could be reached by nobody then.
+    ListConfirmed { at: TenthMillis },
+    /// Discovery refused a call, or its answer was not a list.
+    ListRefused,
+    /// A call to discovery reached nobody, or its connection broke.
+    DiscoveryUnreachable,
+    /// A watch was not answered within its time limit.
+    WatchTimedOut,
+}
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -15,8 +15,8 @@
 use super::memory::MemoryLimit;
 use super::pool::{ConnectError, PooledConnection, UpstreamPool};
 use super::stream::{read_into, write_all};
-use crate::protocol::upstream::{Answered, UpstreamSide, write_attempt, write_probe};
-use crate::routing::{Carrier, End, Hold, Note, Order};
+use crate::protocol::upstream::{ResponseReader, UpstreamResponse, encode_attempt, encode_probe};
+use crate::routing::{AttemptHandle, AttemptId, AttemptResult, OutgoingAttempt, RouterEvent, Transport};
 
 /// Carries out the exchange's outbound calls: attempts and probes, each in a task of its own, and commands to the
 /// discovery client.
@@ -25,7 +25,7 @@
     pub clock: Clock,
     pub memory: MemoryLimit,
     /// Where the ends of attempts and probes are reported.
-    pub exchange_tx: mpsc::UnboundedSender<Note>,
+    pub exchange_tx: mpsc::UnboundedSender<RouterEvent>,
     pub discovery_tx: mpsc::UnboundedSender<DiscoveryCommand>,
     /// How upstreams are probed for their load; none is probed where it is `None`.
     pub probe: Option<ProbeSettings>,
@@ -46,7 +46,7 @@
     is_written: Rc<Cell<bool>>,
 }
 
-impl Hold for AttemptTask {
+impl AttemptHandle for AttemptTask {
     fn is_written(&self) -> bool {
         self.is_written.get()
     }
@@ -58,18 +58,18 @@
     }
 }
 
-impl Carrier for OutboundTransport {
-    type Hold = AttemptTask;
+impl Transport for OutboundTransport {
+    type Handle = AttemptTask;
 
-    fn send(&mut self, order: Order) -> AttemptTask {
+    fn send_attempt(&mut self, attempt: OutgoingAttempt) -> AttemptTask {
         let (pool, clock, memory) = (self.pool.clone(), self.clock, self.memory);
         let exchange_tx = self.exchange_tx.clone();
         let is_written = Rc::new(Cell::new(false));
         let set_written = is_written.clone();
         let task = spawn_local(async move {
-            let attempt = order.id.clone();
-            let end = run_attempt(&pool, clock, memory, order, &set_written).await;
-            let _ended = exchange_tx.send(Note::Ended { attempt, end });
+            let id = attempt.id.clone();
+            let result = run_attempt(&pool, clock, memory, attempt, &set_written).await;
+            let _ended = exchange_tx.send(RouterEvent::AttemptEnded { attempt: id, result });
         });
         AttemptTask { handle: task.abort_handle(), is_written }
     }
@@ -84,20 +84,24 @@
             let probe = run_probe(&pool, memory, &settings.path, &upstream, address, deadline);
             let result = timeout_at(deadline, probe).await;
             let (outcome, load) = result.unwrap_or((Outcome::TimedOut, Load::default()));
-            let _ended =
-                exchange_tx.send(Note::Probed { upstream, outcome, took: clock.now() - start, load });
+            let _ended = exchange_tx.send(RouterEvent::ProbeEnded {
+                upstream,
+                outcome,
+                duration: clock.now() - start,
+                load,
+            });
         });
     }
 
-    fn watch(&mut self, on: bool) {
-        let _ended = self.discovery_tx.send(DiscoveryCommand::SetWatch(on));
+    fn watch_list(&mut self, enabled: bool) {
+        let _ended = self.discovery_tx.send(DiscoveryCommand::SetWatch(enabled));
     }
 
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         let _ended = self.discovery_tx.send(DiscoveryCommand::FetchList);
     }
 
-    fn close_idle(&mut self, upstream: &str) {
+    fn close_idle_connections(&mut self, upstream: &str) {
         self.pool.close_idle(upstream);
     }
 }
@@ -116,12 +120,12 @@
         Err(ConnectError::PoolFull) => return (Outcome::Moot, Load::default()),
         Err(_) => return (Outcome::ConnectFailed, Load::default()),
     };
-    if write_all(&connection.stream, &write_probe(path, address)).await.is_err() {
+    if write_all(&connection.stream, &encode_probe(path, address)).await.is_err() {
         return (Outcome::ConnectFailed, Load::default());
     }
     match read_answer(&connection, memory).await {
-        Ok(Answered { outcome, load, keep, .. }) => {
-            if keep {
+        Ok(UpstreamResponse { outcome, load, keep_alive, .. }) => {
+            if keep_alive {
                 pool.release(upstream.clone(), connection);
             }
             (outcome, load)
@@ -138,25 +142,26 @@
     pool: &Rc<UpstreamPool>,
     clock: Clock,
     memory: MemoryLimit,
-    order: Order,
+    attempt: OutgoingAttempt,
     is_written: &Cell<bool>,
-) -> End {
-    let deadline = clock.instant_of(order.until);
-    let connection = match pool.acquire(&order.upstream, order.address, deadline).await {
+) -> AttemptResult {
+    let deadline = clock.instant_of(attempt.deadline);
+    let connection = match pool.acquire(&attempt.upstream, attempt.address, deadline).await {
         Ok(connection) => connection,
         Err(error) => {
-            let (request, attempt) = &order.id;
-            log::debug!("request {request} attempt {attempt}: can't connect to {}: {error}", order.upstream);
+            let AttemptId { request, number } = &attempt.id;
+            log::debug!("request {request} attempt {number}: can't connect to {}: {error}", attempt.upstream);
             return Outcome::ConnectFailed.into();
         }
     };
     // After a pause of the whole process, everything that arrived meanwhile becomes ready at once. Yielding lets the
     // task of a client that has disconnected run first, so that nothing is sent for that client.
     yield_now().await;
-    if order.begin_by.is_some_and(|by| by <= clock.now()) {
+    if attempt.send_by.is_some_and(|by| by <= clock.now()) {
         return Outcome::Moot.into();
     }
-    let bytes = write_attempt(&order.id.0, &order.message, order.until.saturating_sub(clock.now()));
+    let bytes =
+        encode_attempt(&attempt.id.request, &attempt.message, attempt.deadline.saturating_sub(clock.now()));
     if !matches!(timeout_at(deadline, write_all(&connection.stream, &bytes)).await, Ok(Ok(()))) {
         return Outcome::ConnectFailed.into();
     }
@@ -165,31 +170,39 @@
     match timeout_at(deadline, read_answer(&connection, memory)).await {
         Err(_) => Outcome::TimedOut.into(),
         Ok(Err(outcome)) => outcome.into(),
-        Ok(Ok(answered)) => {
-            if answered.keep && Instant::now() < deadline {
-                pool.release(order.upstream, connection);
+        Ok(Ok(response)) => {
+            if response.keep_alive && Instant::now() < deadline {
+                pool.release(attempt.upstream, connection);
+            }
+            AttemptResult {
+                outcome: response.outcome,
+                final_answer: response.final_answer,
+                load: response.load,
             }
-            End { outcome: answered.outcome, reply: answered.reply, load: answered.load }
         }
     }
 }
 
 /// Reads one whole answer. A connection that ends before any byte of it is told from one that ends within it or brings
 /// a malformed one: the upstream may be dead in the first case, and is alive in the other.
-async fn read_answer(connection: &PooledConnection, memory: MemoryLimit) -> Result<Answered, Outcome> {
-    let mut side = UpstreamSide::new();
+async fn read_answer(
+    connection: &PooledConnection,
+    memory: MemoryLimit,
+) -> Result<UpstreamResponse, Outcome> {
+    let mut reader = ResponseReader::new();
     loop {
-        let closed_outcome =
-            |side: &UpstreamSide| if side.has_begun() { Outcome::Spoilt } else { Outcome::Reset };
-        let read = read_into(&connection.stream, side.input()).await;
-        let count = read.map_err(|_| closed_outcome(&side))?;
+        let closed_outcome = |reader: &ResponseReader| {
+            if reader.has_partial_response() { Outcome::Spoilt } else { Outcome::Reset }
+        };
+        let read = read_into(&connection.stream, reader.message_reader()).await;
+        let count = read.map_err(|_| closed_outcome(&reader))?;
         if memory.is_exhausted() {
             log::warn!("memory limit reached: dropped an upstream's answer");
             return Err(Outcome::Spoilt);
         }
-        match side.next(count == 0) {
-            Ok(Some(answered)) => return Ok(answered),
-            Ok(None) if count == 0 => return Err(closed_outcome(&side)),
+        match reader.next_response(count == 0) {
+            Ok(Some(response)) => return Ok(response),
+            Ok(None) if count == 0 => return Err(closed_outcome(&reader)),
             Ok(None) => {}
             Err(error) => {
                 log::warn!("rejected an upstream's answer: {error}");
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -31,7 +31,7 @@
         self.unanswered_calls = if is_unanswered { self.unanswered_calls + 1 } else { 0 };
         match result {
             // Discovery has waited for changes during the whole hold, and there were none.
-            Ok(list) if !list.whole && list.targets.is_empty() && called_at.elapsed() >= hold => {
+            Ok(list) if !list.is_snapshot && list.targets.is_empty() && called_at.elapsed() >= hold => {
                 Some(called_at + hold)
             }
             Ok(_) | Err(CallError::Unreachable(_)) => Some(called_at),
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -16,7 +16,7 @@
 use super::backoff::Backoff;
 use super::clock::Clock;
 use crate::protocol::discovery::UpstreamList;
-use crate::routing::Note;
+use crate::routing::RouterEvent;
 
 /// What the client of discovery is told to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -76,7 +76,7 @@
     limit: ListLimit,
     clock: Clock,
     mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
-    exchange_tx: mpsc::UnboundedSender<Note>,
+    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
 ) {
     let mut client = DiscoveryClient {
         connection: DiscoveryConnection::new(address, limit.max_bytes, timeouts.queue_margin),
@@ -119,7 +119,7 @@
     /// For lists that are too long.
     backoff: Backoff,
     clock: Clock,
-    exchange_tx: mpsc::UnboundedSender<Note>,
+    exchange_tx: mpsc::UnboundedSender<RouterEvent>,
     confirmation: ListConfirmation,
     error_log: ErrorLog,
     /// Calls made so far; numbers them in the log.
@@ -178,7 +178,7 @@
             Ok(list) => {
                 self.version = Some(list.version);
                 self.error_log.reset();
-                (Note::Listed(list), true)
+                (RouterEvent::ListReceived(list), true)
             }
             Err(error) => {
                 self.error_log.log(&error);
@@ -186,7 +186,8 @@
             }
         };
         // Sent after the list that it confirms.
-        let confirmation = call.confirmed_at.map(|at| Note::ListCurrent { at: self.clock.time_of(at) });
+        let confirmation =
+            call.confirmed_at.map(|at| RouterEvent::ListConfirmed { at: self.clock.time_of(at) });
         let mut is_received = self.exchange_tx.send(note).is_ok();
         if let Some(confirmation) = confirmation {
             is_received &= self.exchange_tx.send(confirmation).is_ok();
--- a/crates/pondlb-server/src/transport/stream.rs
+++ b/crates/pondlb-server/src/transport/stream.rs
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 
 /// Waits until data can be read and reads as much of it as fits into `buffer`. Returns the number of bytes read, 0 when
-/// the peer has closed its side.
+/// the peer has closed its reader.
 pub async fn read_available(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -21,7 +21,7 @@
 use super::memory::MemoryLimit;
 use super::pool::UpstreamPool;
 use super::stream::{read_available, write_all};
-use crate::routing::{Carrier, Note, Order};
+use crate::routing::{AttemptId, OutgoingAttempt, RouterEvent, Transport};
 
 const MAX_LIST_BYTES: usize = 1 << 20;
 const MS: Duration = Duration::from_millis(1);
@@ -36,7 +36,7 @@
 struct FakeDiscovery {
     listener: TcpListener,
     commands: UnboundedSender<DiscoveryCommand>,
-    exchange_rx: UnboundedReceiver<Note>,
+    exchange_rx: UnboundedReceiver<RouterEvent>,
     /// The paths called and what the client reported for each.
     trace: String,
 }
@@ -58,10 +58,10 @@
     }
 
     /// The next note from the client, except those that confirm the list.
-    async fn next_note(&mut self) -> Note {
+    async fn next_note(&mut self) -> RouterEvent {
         loop {
             match self.exchange_rx.recv().await.unwrap() {
-                Note::ListCurrent { .. } => {}
+                RouterEvent::ListConfirmed { .. } => {}
                 note => return note,
             }
         }
@@ -70,10 +70,10 @@
     /// Adds the client's report on the call to the trace. After a failure it commands a new watch, as the decisions do.
     async fn trace_report(&mut self) {
         let note = match self.next_note().await {
-            Note::Listed(list) => format!("listed {}", list.version),
-            Note::ListLost => "lost".into(),
-            Note::ListUnreached => "unreached".into(),
-            Note::WatchSilent => "silent".into(),
+            RouterEvent::ListReceived(list) => format!("listed {}", list.version),
+            RouterEvent::ListRefused => "lost".into(),
+            RouterEvent::DiscoveryUnreachable => "unreached".into(),
+            RouterEvent::WatchTimedOut => "silent".into(),
             _ => "no such note".into(),
         };
         self.trace += &format!("{note}\n");
@@ -273,20 +273,22 @@
     let memory = MemoryLimit { max_bytes: usize::MAX };
     let mut transport = OutboundTransport { pool, clock, memory, exchange_tx, discovery_tx, probe: None };
     let head = Head { start_line: "POST / HTTP/1.1".into(), fields: Vec::new() };
-    let _task = transport.send(Order {
-        id: ("a1".into(), 1),
+    let _task = transport.send_attempt(OutgoingAttempt {
+        id: AttemptId { request: "a1".into(), number: 1 },
         upstream: "s1".into(),
         address,
         message: Rc::new(Message { head, body: Vec::new() }),
-        until: clock.now() + 20 * SECOND,
-        begin_by: Some(begin_by(&clock)),
+        deadline: clock.now() + 20 * SECOND,
+        send_by: Some(begin_by(&clock)),
     });
     let (stream, _) = upstream.accept().await.unwrap();
     let mut bytes = [0; 256];
     // The connection is closed without input if the attempt is not written.
     let count = read_available(&stream, &mut bytes).await.unwrap();
     reset(stream);
-    let Some(Note::Ended { end, .. }) = exchange_rx.recv().await else { panic!("the attempt does not end") };
+    let Some(RouterEvent::AttemptEnded { result: end, .. }) = exchange_rx.recv().await else {
+        panic!("the attempt does not end")
+    };
     let text = String::from_utf8_lossy(&bytes[..count]);
     (end.outcome, text.lines().next().unwrap_or_default().into())
 }
