--- a/crates/pondlb-lab/src/scale/hollow_process.rs
+++ b/crates/pondlb-lab/src/scale/hollow_process.rs
@@ -57,6 +57,7 @@
     }
 }
 
+/// The state of this hollow process.
 struct HollowProcess {
     assignment: Assignment,
     fault: Option<PlantedFault>,
@@ -72,6 +73,7 @@
     pending_in_force: RefCell<Vec<InForce>>,
 }
 
+/// A hollow balancer: its consumer, the status of its control client and its task.
 struct HollowBalancer {
     number: u32,
     consumer: RefCell<Consumer>,
@@ -203,6 +205,7 @@
         tokio::join!(follower, self.apply_updates(&balancer, updates, permit));
     }
 
+    /// The options of the control client of a balancer.
     fn follower_options(&self, number: u32) -> FollowerConfig {
         let regions = self.assignment.servers.len().max(1);
         let servers = self.assignment.servers.get(number as usize % regions);
@@ -258,6 +261,7 @@
         self.fault == Some(PlantedFault::NeverAsksAgain) && is_first && is_due
     }
 
+    /// Reads and executes commands until the input ends.
     async fn run_commands(self: &Rc<Self>, commands: Receiver) -> io::Result<()> {
         let mut lines = BufReader::new(commands).lines();
         while let Some(line) = lines.next_line().await? {
@@ -277,6 +281,7 @@
         Ok(())
     }
 
+    /// Restarts all balancers of a group without keeping any state.
     fn restart_group(self: &Rc<Self>, group: u32) {
         for balancer in self.balancers.iter().filter(|balancer| balancer.number % RESTART_GROUPS == group) {
             balancer.stop(self.key_indices.clone());
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -51,8 +51,8 @@
 /// Plays the scenario and returns its report. All processes that it starts are killed before it returns.
 ///
 /// # Errors
-/// A process can't be started or reached, or not all balancers have the initial state in time. Failures after that are
-/// part of the report.
+/// A process can't be started, not all balancers have the initial state in time, or an event can't be carried out. All other
+/// failures are part of the report.
 pub async fn run_scenario(programs: &Programs, scenario: Scenario) -> io::Result<Report> {
     let mut run = Run::start(programs, scenario).await?;
     let start_duration = run.wait_for_first_state().await?;
@@ -62,6 +62,7 @@
     run.finish(start_duration, convergence_duration, &restarts).await
 }
 
+/// A scale run whose processes have been started.
 struct Run {
     scenario: Scenario,
     /// The ledgers of the traffic, with their own clock in microseconds.
@@ -70,6 +71,7 @@
     book_start_us: u64,
     /// The emulated upstreams. They end when this is dropped.
     fleet: Fleet,
+    /// The timeline; taken when the phases are played.
     steps: Vec<Step>,
     servers: ControlServers,
     hollow: HollowProcesses,
