--- a/crates/pondlb-lab/src/scale/hollow_process.rs
+++ b/crates/pondlb-lab/src/scale/hollow_process.rs
@@ -53,7 +53,7 @@
     process.balancers.iter().for_each(|balancer| process.clone().start_balancer(balancer));
     tokio::select! {
         ended = process.run_commands(commands) => ended,
-        ended = process.report_regularly(reports) => ended,
+        ended = process.write_reports(reports) => ended,
     }
 }
 
@@ -299,7 +299,7 @@
     }
 
     /// Writes the pending reports at each interval, with all byte counters once in each measurement window.
-    async fn report_regularly(&self, mut reports: Sender) -> io::Result<()> {
+    async fn write_reports(&self, mut reports: Sender) -> io::Result<()> {
         let mut last_window = 0;
         loop {
             sleep(REPORT_INTERVAL).await;
--- a/crates/pondlb-lab/src/scale/mod.rs
+++ b/crates/pondlb-lab/src/scale/mod.rs
@@ -10,7 +10,7 @@
 pub mod message;
 pub mod process;
 pub mod proxy;
-pub mod real;
+pub mod real_balancers;
 pub mod records;
 pub mod report;
 pub mod run;
--- a/crates/pondlb-lab/src/scale/real.rs
+++ b/crates/pondlb-lab/src/scale/real_balancers.rs
@@ -223,26 +223,26 @@
 }
 
 /// Separates the ledgers of both kinds of traffic. An upstream can't tell the balancers apart, because all of them use
-/// the same address of it, so the balancer of an upstream's run is taken from the request with the same id.
+/// the same address of it, so the balancer of an attempt is taken from the request with the same id.
 pub fn split_ledgers(mut ledgers: Ledgers, direct_ids: &HashSet<String>) -> TrafficLedgers {
-    let (direct, asked) = ledgers.requests.drain(..).partition(|asked| direct_ids.contains(&asked.id));
-    ledgers.requests = asked;
-    ledgers.attempts.retain(|run| !direct_ids.contains(&run.id));
+    let (direct, requests) = ledgers.requests.drain(..).partition(|request| direct_ids.contains(&request.id));
+    ledgers.requests = requests;
+    ledgers.attempts.retain(|attempt| !direct_ids.contains(&attempt.id));
     let balancers_by_id: HashMap<&str, u32> =
-        ledgers.requests.iter().map(|asked| (&*asked.id, asked.balancer)).collect();
-    for run in &mut ledgers.attempts {
-        run.balancer = balancers_by_id.get(&*run.id).copied().unwrap_or(run.balancer);
+        ledgers.requests.iter().map(|request| (&*request.id, request.balancer)).collect();
+    for attempt in &mut ledgers.attempts {
+        attempt.balancer = balancers_by_id.get(&*attempt.id).copied().unwrap_or(attempt.balancer);
     }
     TrafficLedgers { balanced: ledgers, direct }
 }
 
 /// For each balancer, when the drain of an upstream came in force there: at the first version with the revision of the
-/// drain or a later one. `to_book` converts a time of the monotonic clock to the time of the ledgers.
+/// drain or a later one. `to_recorder_us` converts a time of the monotonic clock to that of the recorder.
 pub fn drain_notices(
     series: &[Vec<InForce>],
     upstream: u32,
     revision: u64,
-    to_book: impl Fn(u64) -> u64,
+    to_recorder_us: impl Fn(u64) -> u64,
 ) -> Vec<DrainNotice> {
     let notice = |(balancer, series): (usize, &Vec<InForce>)| {
         let first = series.iter().find(|in_force| in_force.revision >= revision)?;
@@ -250,7 +250,7 @@
             balancer: balancer as u32,
             upstream: upstream as usize,
             incarnation: 0,
-            at_us: to_book(first.at_us),
+            at_us: to_recorder_us(first.at_us),
         })
     };
     series.iter().enumerate().filter_map(notice).collect()
--- a/crates/pondlb-lab/src/scale/report.rs
+++ b/crates/pondlb-lab/src/scale/report.rs
@@ -248,7 +248,7 @@
         self.fmt_traffic(to)?;
         self.fmt_server_loads(to)?;
         self.fmt_restarts(to)?;
-        self.fmt_costs(to)?;
+        self.fmt_bytes_and_usage(to)?;
         self.fmt_end(to)
     }
 }
@@ -350,7 +350,7 @@
         Ok(())
     }
 
-    fn fmt_costs(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt_bytes_and_usage(&self, to: &mut fmt::Formatter) -> fmt::Result {
         writeln!(to, "\nbytes a second of a balancer")?;
         for (name, rates) in
             [("hollow", &self.hollow_bytes_per_second), ("real", &self.real_bytes_per_second)]
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -15,7 +15,7 @@
 use super::hollow_processes::HollowProcesses;
 use super::measure::{ByteLedger, Commit, WINDOW_SECONDS};
 use super::message::HollowCommand;
-use super::real::{
+use super::real_balancers::{
     self, RealBalancers, RealRestart, balanced_traffic, direct_traffic, drain_notices, split_ledgers,
 };
 use super::records::Records;
@@ -25,7 +25,7 @@
 use super::servers::{ControlServers, FinalServerState, Follower};
 use super::summary::{RunData, summarize};
 use super::timeline::{self, Action, Step};
-use super::usage::{Role, Sample};
+use super::usage::{Role, UsageSample};
 use crate::balancers::Program;
 use crate::fleet::{Fleet, Recorder};
 use crate::ledger::BalancerCrash;
@@ -65,25 +65,25 @@
 /// A scale run whose processes have been started.
 struct Run {
     scenario: Scenario,
-    /// The ledgers of the traffic, with their own clock in microseconds.
-    book: Rc<Recorder>,
-    /// The start of the book's clock, by the monotonic clock in microseconds.
-    book_start_us: u64,
+    /// Records the ledgers of the traffic, with its own clock in microseconds.
+    recorder: Rc<Recorder>,
+    /// The start of the recorder's clock, by the monotonic clock in microseconds.
+    recorder_start_us: u64,
     /// The emulated upstreams. They end when this is dropped.
     fleet: Fleet,
     /// The timeline; taken when the phases are played.
     steps: Vec<Step>,
-    servers: ControlServers,
-    hollow: HollowProcesses,
-    real: Rc<RealBalancers>,
+    control_servers: ControlServers,
+    hollow_processes: HollowProcesses,
+    real_balancers: Rc<RealBalancers>,
     /// The tasks of rolling restarts of real balancers.
     rolling_restarts: Vec<JoinHandle<Vec<io::Result<RealRestart>>>>,
     /// The byte counters of real balancers over time.
-    real_bytes: Rc<RefCell<ByteLedger>>,
+    real_balancer_bytes: Rc<RefCell<ByteLedger>>,
     /// Reads the byte counters of real balancers once in each measurement window.
-    real_bytes_task: JoinHandle<()>,
-    /// The start of the first phase, by the book's clock in microseconds.
-    phases_start_book_us: u64,
+    byte_reading_task: JoinHandle<()>,
+    /// The start of the first phase, by the recorder's clock in microseconds.
+    phases_start_recorder_us: u64,
     /// The revision of the initial state.
     first_revision: u64,
     /// All commits that the origin accepted, in the order of their revisions.
@@ -92,7 +92,7 @@
     /// The drains of served upstreams that were committed.
     served_drains: Vec<ServedDrain>,
     /// The usage of all processes at the start of each phase and at the end of the last.
-    usage_samples: Vec<Sample>,
+    usage_samples: Vec<UsageSample>,
     /// Readings of the byte counters of real balancers while replica servers are killed.
     real_server_load_readings: Vec<ServerLoadReading>,
     /// The largest delay of a step after its time in the timeline, in microseconds.
@@ -113,11 +113,15 @@
 
 impl Run {
     async fn start(programs: &Programs, scenario: Scenario) -> io::Result<Run> {
-        let book = Recorder::new();
-        let book_start_us = clock::now_us() - book.now_us();
+        let recorder = Recorder::new();
+        let recorder_start_us = clock::now_us() - recorder.now_us();
         let traffic = balanced_traffic(&scenario);
-        let fleet =
-            Fleet::start(book.clone(), traffic.upstream_specs(), &traffic.rules, scenario.real_balancers)?;
+        let fleet = Fleet::start(
+            recorder.clone(),
+            traffic.upstream_specs(),
+            &traffic.rules,
+            scenario.real_balancers,
+        )?;
         let records = Records::new(&scenario, &fleet);
         let steps = timeline::build_timeline(&scenario, &records);
         let servers =
@@ -133,24 +137,24 @@
         let ledger = real_bytes.clone();
         let real_bytes_task = spawn_local(async move {
             loop {
-                ledger.borrow_mut().record(&real::read_byte_counts(&tap_logs));
+                ledger.borrow_mut().record(&real_balancers::read_byte_counts(&tap_logs));
                 let window_us = WINDOW_SECONDS * 1_000_000;
                 sleep(Duration::from_micros(window_us - clock::now_us() % window_us)).await;
             }
         });
         Ok(Run {
             scenario,
-            book,
-            book_start_us,
+            recorder,
+            recorder_start_us,
             fleet,
             steps,
-            servers,
-            hollow,
-            real: Rc::new(real_balancers),
+            control_servers: servers,
+            hollow_processes: hollow,
+            real_balancers: Rc::new(real_balancers),
             rolling_restarts: Vec::new(),
-            real_bytes,
-            real_bytes_task,
-            phases_start_book_us: 0,
+            real_balancer_bytes: real_bytes,
+            byte_reading_task: real_bytes_task,
+            phases_start_recorder_us: 0,
             first_revision,
             commits: Vec::new(),
             changes_by_kind: ChangesByKind::default(),
@@ -165,7 +169,8 @@
 
     /// The number of balancers, real and hollow, that have this revision or a later one in force.
     fn count_at_revision(&self, revision: u64) -> usize {
-        self.hollow.reports.borrow().count_at_revision(revision) + self.real.count_at_revision(revision)
+        self.hollow_processes.reports.borrow().count_at_revision(revision)
+            + self.real_balancers.count_at_revision(revision)
     }
 
     /// Waits until all balancers have the initial state in force, and returns how long that took.
@@ -177,8 +182,12 @@
             if ready == all {
                 return Ok(began.elapsed());
             }
-            if let Some(exit_message) =
-                self.hollow.unexpected_exits().into_iter().chain(self.servers.unexpected_exits()).next()
+            if let Some(exit_message) = self
+                .hollow_processes
+                .unexpected_exits()
+                .into_iter()
+                .chain(self.control_servers.unexpected_exits())
+                .next()
             {
                 return Err(io::Error::other(exit_message));
             }
@@ -194,12 +203,12 @@
 
     /// Plays the timeline while traffic goes through the real balancers and directly to the upstreams.
     async fn play_phases(&mut self) -> io::Result<()> {
-        self.phases_start_book_us = self.book.now_us() + START_DELAY_US;
-        let (book, start_us) = (self.book.clone(), self.phases_start_book_us);
+        self.phases_start_recorder_us = self.recorder.now_us() + START_DELAY_US;
+        let (recorder, start_us) = (self.recorder.clone(), self.phases_start_recorder_us);
         let balanced_scenario = Rc::new(balanced_traffic(&self.scenario));
         let direct_scenario = Rc::new(direct_traffic(&self.scenario));
         let balancer_targets: Vec<_> =
-            self.real.balancers.addresses.iter().map(|address| Endpoint::new(*address)).collect();
+            self.real_balancers.balancers.addresses.iter().map(|address| Endpoint::new(*address)).collect();
         let upstream_targets: Vec<_> =
             self.fleet.upstreams.iter().map(|upstream| Endpoint::new(upstream.address_for(0))).collect();
         let direct_plan = direct_scenario.plan();
@@ -210,7 +219,7 @@
             balanced_plan,
             &balancer_targets,
             Failover::NextBalancer,
-            &book,
+            &recorder,
             start_us,
         );
         let direct_load = load::send_planned(
@@ -218,7 +227,7 @@
             direct_plan,
             &upstream_targets,
             Failover::Never,
-            &book,
+            &recorder,
             start_us,
         );
         let (result, (), ()) = tokio::join!(self.play_steps(), balanced_load, direct_load);
@@ -230,16 +239,16 @@
         let mut steps = std::mem::take(&mut self.steps).into_iter().peekable();
         let bounds = timeline::phase_bounds_us(&self.scenario.phases);
         for (phase, (start_us, end_us)) in bounds.into_iter().enumerate() {
-            sleep_until(self.book.instant_at(self.phases_start_book_us + start_us)).await;
+            sleep_until(self.recorder.instant_at(self.phases_start_recorder_us + start_us)).await;
             eprintln!("{}", self.scenario.phases[phase].name);
             self.sample_usage();
             while let Some(step) = steps.next_if(|step| step.phase == phase) {
-                let at_us = self.phases_start_book_us + step.at_us;
-                sleep_until(self.book.instant_at(at_us)).await;
-                self.latest_step_us = self.latest_step_us.max(self.book.now_us().saturating_sub(at_us));
+                let at_us = self.phases_start_recorder_us + step.at_us;
+                sleep_until(self.recorder.instant_at(at_us)).await;
+                self.latest_step_us = self.latest_step_us.max(self.recorder.now_us().saturating_sub(at_us));
                 self.execute(step).await?;
             }
-            sleep_until(self.book.instant_at(self.phases_start_book_us + end_us)).await;
+            sleep_until(self.recorder.instant_at(self.phases_start_recorder_us + end_us)).await;
             self.record_unexpected_exits();
         }
         self.sample_usage();
@@ -255,16 +264,16 @@
                 self.served_drains.extend(self.commits.last().map(drain));
             }
             Action::RestartHollowGroup(group) => {
-                self.hollow.send_command(&HollowCommand::Restart(group)).await?
+                self.hollow_processes.send_command(&HollowCommand::Restart(group)).await?
             }
             Action::RollingRestart { interval_us } => self.start_rolling_restart(step.phase, interval_us),
-            Action::KillReplicaServers(replicas) => self.servers.kill(&replicas).await?,
-            Action::RestartReplicaServers(replicas) => self.servers.restart_killed(&replicas)?,
+            Action::KillReplicaServers(replicas) => self.control_servers.kill(&replicas).await?,
+            Action::RestartReplicaServers(replicas) => self.control_servers.restart_killed(&replicas)?,
             Action::CountServerLoads => self.read_server_loads(step.phase).await?,
-            Action::PartitionRegions => self.servers.partition_regions(),
-            Action::HealPartition => self.servers.heal_partition(),
-            Action::PauseHollowProcess(process) => self.hollow.pause(process)?,
-            Action::ResumeHollowProcess(process) => self.hollow.resume(process)?,
+            Action::PartitionRegions => self.control_servers.partition_regions(),
+            Action::HealPartition => self.control_servers.heal_partition(),
+            Action::PauseHollowProcess(process) => self.hollow_processes.pause(process)?,
+            Action::ResumeHollowProcess(process) => self.hollow_processes.resume(process)?,
         }
         Ok(())
     }
@@ -274,7 +283,7 @@
         let first = Instant::now();
         let start_time = |number| first + Duration::from_micros(interval_us * u64::from(number));
         let start_times = (0..self.scenario.real_balancers).map(start_time).collect();
-        let real = self.real.clone();
+        let real = self.real_balancers.clone();
         let task = spawn_local(async move { real.rolling_restart(phase, start_times).await });
         self.rolling_restarts.push(task);
     }
@@ -295,16 +304,16 @@
 
     /// Reads the byte counters of the real balancers, and asks the hollow processes for theirs.
     async fn read_server_loads(&mut self, phase: usize) -> io::Result<()> {
-        let counts = real::read_byte_counts(&self.real.tap_logs);
+        let counts = real_balancers::read_byte_counts(&self.real_balancers.tap_logs);
         self.real_server_load_readings.push(ServerLoadReading { phase, counts });
-        self.hollow.send_command(&HollowCommand::CountServerLoads(phase)).await
+        self.hollow_processes.send_command(&HollowCommand::CountServerLoads(phase)).await
     }
 
     /// Commits changes at the origin. A failure goes to the report.
     async fn commit(&mut self, phase: usize, changes: Vec<pondlb_control::NewChange>) {
         let (requested_at_us, count) = (clock::now_us(), changes.len() as u64);
         let kinds: Vec<RecordKind> = changes.iter().map(|change| change.key.kind()).collect();
-        match self.servers.commit(changes).await {
+        match self.control_servers.commit(changes).await {
             Ok(version) => {
                 let last_revision = version.revision;
                 kinds.into_iter().for_each(|kind| self.changes_by_kind.count(kind));
@@ -321,29 +330,34 @@
 
     /// Reads processor time and memory of all processes.
     fn sample_usage(&mut self) {
-        let servers = self.servers.process_ids().into_iter().enumerate();
+        let servers = self.control_servers.process_ids().into_iter().enumerate();
         let servers =
             servers.map(|(number, id)| (if number == 0 { Role::Origin } else { Role::ReplicaServer }, id));
-        let real = self.real.balancers.process_ids().into_iter().map(|id| (Role::RealBalancer, id));
-        let hollow = self.hollow.process_ids().into_iter().map(|id| (Role::HollowProcess, id));
+        let real = self.real_balancers.balancers.process_ids().into_iter().map(|id| (Role::RealBalancer, id));
+        let hollow = self.hollow_processes.process_ids().into_iter().map(|id| (Role::HollowProcess, id));
         let own = std::iter::once((Role::Laboratory, std::process::id()));
-        self.usage_samples.push(Sample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
+        self.usage_samples
+            .push(UsageSample::take(clock::now_us(), servers.chain(real).chain(hollow).chain(own)));
     }
 
     /// Records each process that has exited unexpectedly, once: control servers and hollow processes as failures, real
     /// balancers as crashes in the ledgers.
     fn record_unexpected_exits(&mut self) {
-        for exit_message in self.servers.unexpected_exits().into_iter().chain(self.hollow.unexpected_exits())
+        for exit_message in self
+            .control_servers
+            .unexpected_exits()
+            .into_iter()
+            .chain(self.hollow_processes.unexpected_exits())
         {
             if !self.failures.contains(&exit_message) {
                 self.failures.push(exit_message);
             }
         }
-        let mut ledgers = self.book.ledgers.borrow_mut();
-        for (balancer, status) in self.real.balancers.unexpected_exits() {
+        let mut ledgers = self.recorder.ledgers.borrow_mut();
+        for (balancer, status) in self.real_balancers.balancers.unexpected_exits() {
             let balancer = balancer as u32;
             if ledgers.crashes.iter().all(|crash| crash.balancer != balancer) {
-                ledgers.crashes.push(BalancerCrash { balancer, at_us: self.book.now_us(), status });
+                ledgers.crashes.push(BalancerCrash { balancer, at_us: self.recorder.now_us(), status });
             }
         }
     }
@@ -369,8 +383,8 @@
     }
 
     async fn all_servers_have(&self, revision: u64) -> bool {
-        for number in 0..self.servers.len() {
-            let state = self.servers.state(number).await;
+        for number in 0..self.control_servers.len() {
+            let state = self.control_servers.state(number).await;
             if !state.is_ok_and(|state| state.version.revision >= revision) {
                 return false;
             }
@@ -388,26 +402,28 @@
         self.record_unexpected_exits();
         let server_states = self.server_states().await;
         let followers = self.followers().await;
-        if let Err(error) = self.hollow.send_command(&HollowCommand::ReportFinalStates).await {
-            self.failures.push(format!("a hollow process can't be asked for its state: {error}"));
+        if let Err(error) = self.hollow_processes.send_command(&HollowCommand::ReportFinalStates).await {
+            self.failures.push(format!("can't request the final states of hollow balancers: {error}"));
         }
         self.wait_for_final_states().await;
-        self.failures.extend(self.real.records_not_applied());
-        self.real_bytes_task.abort();
-        self.real_bytes.borrow_mut().record(&real::read_byte_counts(&self.real.tap_logs));
-        let real_series = self.real.in_force_series();
-        let mut traffic_ledgers = split_ledgers(self.book.ledgers.take(), &self.direct_ids);
+        self.failures.extend(self.real_balancers.records_not_applied());
+        self.byte_reading_task.abort();
+        self.real_balancer_bytes
+            .borrow_mut()
+            .record(&real_balancers::read_byte_counts(&self.real_balancers.tap_logs));
+        let real_series = self.real_balancers.in_force_series();
+        let mut traffic_ledgers = split_ledgers(self.recorder.ledgers.take(), &self.direct_ids);
         for ServedDrain { upstream, revision } in &self.served_drains {
-            let to_book = |at_us: u64| at_us.saturating_sub(self.book_start_us);
-            let notices = drain_notices(&real_series, *upstream, *revision, to_book);
+            let to_recorder_us = |at_us: u64| at_us.saturating_sub(self.recorder_start_us);
+            let notices = drain_notices(&real_series, *upstream, *revision, to_recorder_us);
             traffic_ledgers.balanced.drain_notices.extend(notices);
         }
-        let process_count = self.servers.len()
+        let process_count = self.control_servers.len()
             + self.scenario.hollow_process_count() as usize
             + self.scenario.real_balancers as usize
             + 1;
-        let hollow_reports = self.hollow.reports.take();
-        let replica_servers = self.servers.replica_servers();
+        let hollow_reports = self.hollow_processes.reports.take();
+        let replica_servers = self.control_servers.replica_servers();
         let run_data = RunData {
             scenario: &self.scenario,
             traffic: &balanced_traffic(&self.scenario),
@@ -415,8 +431,8 @@
             commits: &self.commits,
             changes_by_kind: self.changes_by_kind,
             first_revision: self.first_revision,
-            phases_start_us: self.phases_start_book_us + self.book_start_us,
-            phases_start_book_us: self.phases_start_book_us,
+            phases_start_us: self.phases_start_recorder_us + self.recorder_start_us,
+            phases_start_recorder_us: self.phases_start_recorder_us,
             end_us: clock::now_us(),
             start_duration,
             convergence_duration,
@@ -426,10 +442,10 @@
             real_server_load_readings: &self.real_server_load_readings,
             replica_servers: &replica_servers,
             hollow_reports: &hollow_reports,
-            real_series: &real_series,
+            real_in_force: &real_series,
             real_restarts,
-            tap_logs: &self.real.tap_logs,
-            real_bytes: &self.real_bytes.borrow(),
+            tap_logs: &self.real_balancers.tap_logs,
+            real_balancer_bytes: &self.real_balancer_bytes.borrow(),
             traffic_ledgers: &traffic_ledgers,
             server_states: &server_states,
             followers: &followers,
@@ -440,9 +456,9 @@
     /// Asks all control servers for their states, the origin first.
     async fn server_states(&self) -> Vec<FinalServerState> {
         let mut states = Vec::new();
-        for number in 0..self.servers.len() {
-            let state = self.servers.state(number).await.ok();
-            states.push(FinalServerState { name: self.servers.name(number).into(), state });
+        for number in 0..self.control_servers.len() {
+            let state = self.control_servers.state(number).await.ok();
+            states.push(FinalServerState { name: self.control_servers.name(number).into(), state });
         }
         states
     }
@@ -450,8 +466,8 @@
     /// The followers of all servers, by name. If several servers list a follower, the entry with the newest version counts.
     async fn followers(&self) -> BTreeMap<String, Follower> {
         let mut all: BTreeMap<String, Follower> = BTreeMap::new();
-        for number in 0..self.servers.len() {
-            for follower in self.servers.followers(number).await.unwrap_or_default() {
+        for number in 0..self.control_servers.len() {
+            for follower in self.control_servers.followers(number).await.unwrap_or_default() {
                 let known = all.get(&follower.name);
                 if known.is_none_or(|known| known.version <= follower.version) {
                     all.insert(follower.name.clone(), follower);
@@ -466,7 +482,7 @@
         let began = Instant::now();
         let hollow = self.scenario.hollow_balancer_count() as usize;
         while began.elapsed() < FINAL_STATES_TIMEOUT
-            && self.hollow.reports.borrow().final_states.len() < hollow
+            && self.hollow_processes.reports.borrow().final_states.len() < hollow
         {
             sleep(POLL_INTERVAL).await;
         }
--- a/crates/pondlb-lab/src/scale/scenario.rs
+++ b/crates/pondlb-lab/src/scale/scenario.rs
@@ -239,14 +239,14 @@
     /// the machine.
     ///
     /// # Errors
-    /// Returns all faults at once, so that they can be fixed together.
+    /// Returns all errors at once, so that they can be fixed together.
     pub fn parse(text: &str, share: f64, memory_bytes: u64) -> Result<Scenario, Vec<ScenarioError>> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| vec![e.to_string().trim().into()])?;
-        let mut faults = scenario.validate(memory_bytes, share);
+        let mut errors = scenario.validate(memory_bytes, share);
         if !(share > 0.0 && share <= 1.0) {
-            faults.push(format!("--share: {share}: must be above 0 and at most 1"));
+            errors.push(format!("--share: {share}: must be above 0 and at most 1"));
         }
-        if faults.is_empty() { Ok(scenario.scaled_down(share)) } else { Err(faults) }
+        if errors.is_empty() { Ok(scenario.scaled_down(share)) } else { Err(errors) }
     }
 
     /// The scenario with this share of its balancers and records. The real balancers and the served upstreams stay.
@@ -298,15 +298,15 @@
         hollow + servers + real + concurrent_snapshots * records * STAGED_RECORD_BYTES + LAB_BYTES
     }
 
-    /// All faults of the scenario. The memory estimate is checked for the given share, and only if there are no other faults.
+    /// All errors of the scenario. The memory estimate is checked for the given share, and only if there are no other errors.
     fn validate(&self, memory_bytes: u64, share: f64) -> Vec<ScenarioError> {
-        let mut faults = Vec::new();
-        self.check_sizes(&mut faults);
-        self.check_traffic(&mut faults);
+        let mut errors = Vec::new();
+        self.check_sizes(&mut errors);
+        self.check_traffic(&mut errors);
         for (number, phase) in self.phases.iter().enumerate() {
-            self.check_phase(number, phase, &mut faults);
+            self.check_phase(number, phase, &mut errors);
         }
-        let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
+        let mut check = |ok: bool, error: String| errors.extend((!ok).then_some(error));
         check(!self.phases.is_empty(), "phases: must have at least one entry".into());
         let seconds = self.total_seconds();
         check(
@@ -318,17 +318,17 @@
             changes <= MAX_CHANGES,
             format!("phases: {changes} changes in total: must be at most {MAX_CHANGES}"),
         );
-        if faults.is_empty() && share > 0.0 && share <= 1.0 {
+        if errors.is_empty() && share > 0.0 && share <= 1.0 {
             let needed = self.clone().scaled_down(share).memory_estimate_bytes();
             let sizes =
                 format!("{} MB by estimate, but the machine has {} MB", needed >> 20, memory_bytes >> 20);
-            faults.extend((needed > memory_bytes).then(|| format!("balancers: {sizes}")));
+            errors.extend((needed > memory_bytes).then(|| format!("balancers: {sizes}")));
         }
-        faults
+        errors
     }
 
-    fn check_sizes(&self, faults: &mut Vec<ScenarioError>) {
-        let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
+    fn check_sizes(&self, errors: &mut Vec<ScenarioError>) {
+        let mut check = |ok: bool, error: String| errors.extend((!ok).then_some(error));
         let counts = [
             ("balancers", self.balancers, MAX_BALANCERS),
             ("real_balancers", self.real_balancers, MAX_REAL_BALANCERS),
@@ -371,9 +371,9 @@
         );
     }
 
-    fn check_traffic(&self, faults: &mut Vec<ScenarioError>) {
+    fn check_traffic(&self, errors: &mut Vec<ScenarioError>) {
         let traffic = &self.traffic;
-        let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
+        let mut check = |ok: bool, error: String| errors.extend((!ok).then_some(error));
         for (key, rate) in [("rate_each", traffic.rate_each), ("direct_rate", traffic.direct_rate)] {
             check(is_within(rate, 0.1, 1000.0), format!("traffic.{key}: {rate}: must be 0.1 to 1000"));
         }
@@ -399,8 +399,8 @@
         );
     }
 
-    /// The faults of a list of replica servers to be killed together.
-    fn killed_server_faults(&self, servers: &[u32]) -> impl Iterator<Item = String> {
+    /// The errors of a list of replica servers to be killed together.
+    fn killed_server_errors(&self, servers: &[u32]) -> impl Iterator<Item = String> {
         let all = self.replica_servers;
         let missing = servers.iter().filter(move |server| **server >= all);
         let missing =
@@ -419,9 +419,9 @@
         missing.chain(duplicates).chain(count)
     }
 
-    fn check_phase(&self, number: usize, phase: &Phase, faults: &mut Vec<ScenarioError>) {
+    fn check_phase(&self, number: usize, phase: &Phase, errors: &mut Vec<ScenarioError>) {
         let key = |key: &str| format!("phases[{number}].{key}");
-        let mut check = |ok: bool, fault: String| faults.extend((!ok).then_some(fault));
+        let mut check = |ok: bool, error: String| errors.extend((!ok).then_some(error));
         let seconds = phase.seconds;
         check(
             is_within(seconds, 0.1, MAX_TOTAL_SECONDS),
@@ -468,9 +468,9 @@
                 format!("{}: {}: must be 1 to 10", key("tenths"), phase.tenths),
             ),
             PhaseKind::KillServer => {
-                faults.extend(
-                    self.killed_server_faults(&phase.servers)
-                        .map(|fault| format!("{}: {fault}", key("servers"))),
+                errors.extend(
+                    self.killed_server_errors(&phase.servers)
+                        .map(|error| format!("{}: {error}", key("servers"))),
                 );
             }
             // A scenario has at least two hollow processes, whatever its share.
--- a/crates/pondlb-lab/src/scale/summary.rs
+++ b/crates/pondlb-lab/src/scale/summary.rs
@@ -10,7 +10,7 @@
 use super::hollow_processes::HollowReports;
 use super::measure::{ByteLedger, Commit, PropagationRecorder};
 use super::message::{FinalState, InForce};
-use super::real::{RealRestart, TrafficLedgers};
+use super::real_balancers::{RealRestart, TrafficLedgers};
 use super::records::LIMIT_COUNT;
 use super::report::{
     ChangesByKind, EndReport, HollowBalancerCost, PhaseReport, Report, RestartReport, Sizes, TrafficReport,
@@ -20,7 +20,7 @@
 use super::servers::{FinalServerState, Follower, ReplicaServer, ServerState};
 use super::tap::TapLog;
 use super::timeline::phase_bounds_us;
-use super::usage::{Role, RoleUsage, Sample};
+use super::usage::{Role, RoleUsage, UsageSample};
 use crate::judge;
 use crate::ledger::ClientRequest;
 use crate::scenario as traffic;
@@ -48,8 +48,8 @@
     pub first_revision: u64,
     /// The start of the first phase, by the monotonic clock in microseconds.
     pub phases_start_us: u64,
-    /// The start of the first phase, by the clock of the ledgers in microseconds.
-    pub phases_start_book_us: u64,
+    /// The start of the first phase, by the recorder's clock in microseconds.
+    pub phases_start_recorder_us: u64,
     /// When the last data were collected, by the monotonic clock in microseconds.
     pub end_us: u64,
     /// From the start of the balancers until all had the initial state.
@@ -61,7 +61,7 @@
     /// Failures that the run met.
     pub failures: Vec<String>,
     /// The usage of all processes at the start of each phase and at the end of the last.
-    pub usage_samples: &'a [Sample],
+    pub usage_samples: &'a [UsageSample],
     /// Readings of the byte counters of real balancers while replica servers are killed.
     pub real_server_load_readings: &'a [ServerLoadReading],
     /// The replica servers in the order of their numbers.
@@ -69,13 +69,13 @@
     /// The reports of all hollow processes.
     pub hollow_reports: &'a HollowReports,
     /// The versions that came in force at each real balancer, in the order of time.
-    pub real_series: &'a [Vec<InForce>],
+    pub real_in_force: &'a [Vec<InForce>],
     /// The restarts of real balancers in releases.
     pub real_restarts: &'a [RealRestart],
     /// What the taps of each real balancer have recorded.
     pub tap_logs: &'a [Rc<TapLog>],
     /// The byte counters of real balancers over time.
-    pub real_bytes: &'a ByteLedger,
+    pub real_balancer_bytes: &'a ByteLedger,
     /// The ledgers of the traffic through balancers and of the direct traffic.
     pub traffic_ledgers: &'a TrafficLedgers,
     /// The final states of all control servers, the origin first.
@@ -116,9 +116,9 @@
         latest_step_ms: data.latest_step_us as f64 / 1000.0,
         phases,
         hollow_bytes_per_second: data.hollow_reports.bytes.rates(data.phases_start_us, data.end_us),
-        real_bytes_per_second: data.real_bytes.rates(data.phases_start_us, data.end_us),
+        real_bytes_per_second: data.real_balancer_bytes.rates(data.phases_start_us, data.end_us),
         hollow_balancer: hollow_balancer_cost(&usage, data.scenario.hollow_balancer_count()),
-        most_resident_mb: data.usage_samples.iter().map(Sample::resident_mb).fold(0.0, f64::max),
+        most_resident_mb: data.usage_samples.iter().map(UsageSample::resident_mb).fold(0.0, f64::max),
         usage,
         end,
     }
@@ -220,7 +220,7 @@
 
 /// The versions that came in force at a balancer, in the order of time.
 fn in_force_series<'a>(data: &'a RunData, balancer: u32) -> &'a [InForce] {
-    match data.real_series.get(balancer as usize) {
+    match data.real_in_force.get(balancer as usize) {
         Some(series) => series,
         None => data.hollow_reports.in_force.get(&balancer).map_or(&[], Vec::as_slice),
     }
@@ -228,9 +228,9 @@
 
 fn traffic_report(data: &RunData, number: usize) -> TrafficReport {
     let bounds = phase_bounds_us(&data.scenario.phases);
-    let from = data.phases_start_book_us;
-    let is_in_phase = |asked: &&ClientRequest| {
-        let at = asked.intended_us.saturating_sub(from);
+    let from = data.phases_start_recorder_us;
+    let is_in_phase = |request: &&ClientRequest| {
+        let at = request.intended_us.saturating_sub(from);
         bounds.get(number).is_some_and(|(start, end)| (*start..*end).contains(&at))
     };
     let balanced: Vec<&ClientRequest> =
@@ -240,7 +240,7 @@
         (response_quantiles_ms(&balanced), response_quantiles_ms(&direct));
     TrafficReport {
         asked: balanced.len(),
-        unsettled: balanced.iter().filter(|asked| !is_settled(asked)).count(),
+        unsettled: balanced.iter().filter(|request| !is_settled(request)).count(),
         p50_ms,
         p99_ms,
         direct_asked: direct.len(),
@@ -287,17 +287,17 @@
     BALANCER_BUDGET_BYTES_PER_SECOND * f64::from(scenario.balancers) / f64::from(scenario.replica_servers + 1)
 }
 
-fn is_settled(asked: &ClientRequest) -> bool {
-    asked.answered_us.is_some() && asked.status == SETTLED_STATUS
+fn is_settled(request: &ClientRequest) -> bool {
+    request.answered_us.is_some() && request.status == SETTLED_STATUS
 }
 
 /// The median and the 99th percentile of settled requests, in milliseconds.
-fn response_quantiles_ms(asked: &[&ClientRequest]) -> (f64, f64) {
+fn response_quantiles_ms(requests: &[&ClientRequest]) -> (f64, f64) {
     let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_RESPONSE_US, 3) else {
         return (0.0, 0.0);
     };
-    for asked in asked.iter().filter(|asked| is_settled(asked)) {
-        times.saturating_record(asked.answered_us.unwrap_or_default().saturating_sub(asked.intended_us));
+    for request in requests.iter().filter(|request| is_settled(request)) {
+        times.saturating_record(request.answered_us.unwrap_or_default().saturating_sub(request.intended_us));
     }
     let milliseconds = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     (milliseconds(0.5), milliseconds(0.99))
--- a/crates/pondlb-lab/src/scale/timeline.rs
+++ b/crates/pondlb-lab/src/scale/timeline.rs
@@ -106,11 +106,11 @@
 }
 
 impl TimelineBuilder<'_> {
-    /// Adds commits of one change each at the rate of the phase, evenly spaced from `from` to `to` (microseconds).
-    fn add_single_changes(&mut self, phase_number: usize, phase: &Phase, from: u64, to: u64) {
+    /// Adds commits of one change each at the rate of the phase, evenly spaced from `from_us` to `to_us`.
+    fn add_single_changes(&mut self, phase_number: usize, phase: &Phase, from_us: u64, to_us: u64) {
         let count = (phase.seconds * phase.changes_per_second).floor() as u64;
         for number in 0..count {
-            let at_us = from + (to - from) * number / count;
+            let at_us = from_us + (to_us - from_us) * number / count;
             let record = self.records.draw_record(&mut self.rng);
             if let Some(change) = self.next_update_change(record) {
                 self.steps.push(Step { at_us, phase: phase_number, action: Action::Commit(vec![change]) });
@@ -118,36 +118,36 @@
         }
     }
 
-    /// Adds the event of a phase that lasts from `from` to `to` (microseconds).
-    fn add_event(&mut self, phase_number: usize, phase: &Phase, from: u64, to: u64) {
-        let end = from + microseconds(phase.event_seconds);
+    /// Adds the event of a phase that lasts from `from_us` to `to_us`.
+    fn add_event(&mut self, phase_number: usize, phase: &Phase, from_us: u64, to_us: u64) {
+        let end_us = from_us + microseconds(phase.event_seconds);
         let mut step = |at_us, action| self.steps.push(Step { at_us, phase: phase_number, action });
         match phase.kind {
             PhaseKind::Steady => {}
-            PhaseKind::Rack => self.add_rack_failure(phase_number, phase.rack_upstreams, from),
-            PhaseKind::Zone => self.add_zone_failure(phase_number, phase.zone, from, end),
+            PhaseKind::Rack => self.add_rack_failure(phase_number, phase.rack_upstreams, from_us),
+            PhaseKind::Zone => self.add_zone_failure(phase_number, phase.zone, from_us, end_us),
             PhaseKind::Release => {
-                let interval_us = (to - from) / u64::from(self.real_balancers.max(1));
-                step(from, Action::RollingRestart { interval_us });
+                let interval_us = (to_us - from_us) / u64::from(self.real_balancers.max(1));
+                step(from_us, Action::RollingRestart { interval_us });
                 for tenth in 0..phase.tenths {
-                    let at_us = from + (to - from) * u64::from(tenth) / u64::from(phase.tenths);
+                    let at_us = from_us + (to_us - from_us) * u64::from(tenth) / u64::from(phase.tenths);
                     step(at_us, Action::RestartHollowGroup(tenth));
                 }
             }
             PhaseKind::KillServer => {
-                let first_reading = from + (end - from).min(MAX_FAILOVER_WAIT_US * 3) / 3;
-                step(from, Action::KillReplicaServers(phase.servers.clone()));
+                let first_reading = from_us + (end_us - from_us).min(MAX_FAILOVER_WAIT_US * 3) / 3;
+                step(from_us, Action::KillReplicaServers(phase.servers.clone()));
                 step(first_reading, Action::CountServerLoads);
-                step(end, Action::CountServerLoads);
-                step(end, Action::RestartReplicaServers(phase.servers.clone()));
+                step(end_us, Action::CountServerLoads);
+                step(end_us, Action::RestartReplicaServers(phase.servers.clone()));
             }
             PhaseKind::Partition => {
-                step(from, Action::PartitionRegions);
-                step(end, Action::HealPartition);
+                step(from_us, Action::PartitionRegions);
+                step(end_us, Action::HealPartition);
             }
             PhaseKind::Stop => {
-                step(from, Action::PauseHollowProcess(phase.process));
-                step(end, Action::ResumeHollowProcess(phase.process));
+                step(from_us, Action::PauseHollowProcess(phase.process));
+                step(end_us, Action::ResumeHollowProcess(phase.process));
             }
         }
     }
--- a/crates/pondlb-lab/src/scale/usage.rs
+++ b/crates/pondlb-lab/src/scale/usage.rs
@@ -37,18 +37,18 @@
 
 /// The usage of every process at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct Sample {
+pub struct UsageSample {
     /// When the sample was taken, by the monotonic clock in microseconds.
     at_us: u64,
     /// The role and usage of each process, by its process id.
     usages: BTreeMap<u32, (Role, ProcessUsage)>,
 }
 
-impl Sample {
+impl UsageSample {
     /// Reads the usage of these processes, given by role and process id. Those that have ended are left out.
-    pub fn take(at_us: u64, processes: impl Iterator<Item = (Role, u32)>) -> Sample {
+    pub fn take(at_us: u64, processes: impl Iterator<Item = (Role, u32)>) -> UsageSample {
         let read = |(role, id)| Some((id, (role, process::read_usage(id)?)));
-        Sample { at_us, usages: processes.filter_map(read).collect() }
+        UsageSample { at_us, usages: processes.filter_map(read).collect() }
     }
 
     /// The resident memory of all processes together, in MB.
@@ -57,7 +57,7 @@
     }
 
     /// The usage of each role since an earlier sample. A process that was started in between counts from its start.
-    pub fn usage_since(&self, earlier: &Sample) -> Vec<RoleUsage> {
+    pub fn usage_since(&self, earlier: &UsageSample) -> Vec<RoleUsage> {
         let seconds = self.at_us.saturating_sub(earlier.at_us) as f64 / 1e6;
         let mut roles: BTreeMap<Role, RoleUsage> = BTreeMap::new();
         for (id, (role, usage)) in &self.usages {
--- a/crates/pondlb-lab/tests/scale.rs
+++ b/crates/pondlb-lab/tests/scale.rs
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn all_faults_of_a_scenario_are_reported_before_any_process_starts() {
+fn all_errors_of_a_scenario_are_reported_before_any_process_starts() {
     let folder = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(SMALL_SCENARIO).unwrap();
     let mut messages = String::new();
