--- a/crates/pondlb-lab/src/main.rs
+++ b/crates/pondlb-lab/src/main.rs
@@ -11,10 +11,10 @@
 use pondlb_lab::ledger::Ledgers;
 use pondlb_lab::report;
 use pondlb_lab::run::{Report, play};
-use pondlb_lab::scale::hollow::{self, PlantedFault};
-use pondlb_lab::scale::process::machine_memory;
+use pondlb_lab::scale::hollow_process::{self, PlantedFault};
+use pondlb_lab::scale::process::machine_memory_bytes;
 use pondlb_lab::scale::report::Verdict;
-use pondlb_lab::scale::run::{Programs, play as play_scale};
+use pondlb_lab::scale::run::{Programs, run_scenario as play_scale};
 use pondlb_lab::scale::scenario::Scenario as ScaleScenario;
 use pondlb_lab::scenario::Scenario;
 use pondlb_lab::slopes::{self, Dimension};
@@ -171,7 +171,7 @@
         }
         Command::Scale(arguments) => scale(arguments),
         Command::Hollow { assignment, planted } => {
-            run_to_end(hollow::play(&assignment, planted)).map(|()| EXIT_RULES_HELD)
+            run_to_end(hollow_process::run_assignment(&assignment, planted)).map(|()| EXIT_RULES_HELD)
         }
         Command::Check { scenario, plan } => check(&read_scenario(&scenario)?, plan),
         Command::Slopes { dimension, program, argument, before, server, json, seconds, share } => {
@@ -289,7 +289,7 @@
 fn scale(arguments: ScaleArguments) -> Result<u8, String> {
     let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", arguments.scenario.display());
     let text = std::fs::read_to_string(&arguments.scenario).map_err(|e| with_path(&e))?;
-    let scenario = ScaleScenario::read(&text, arguments.share, machine_memory())
+    let scenario = ScaleScenario::parse(&text, arguments.share, machine_memory_bytes())
         .map_err(|errors| errors.iter().map(|error| with_path(error)).collect::<Vec<_>>().join("\n"))?;
     let programs = Programs {
         server: Program {
