--- a/crates/pondlb-lab/src/compare.rs
+++ b/crates/pondlb-lab/src/compare.rs
@@ -104,9 +104,9 @@
 
 /// The differences as a text table.
 pub fn table(differences: &[Difference], pairs: &[Pair]) -> String {
-    let mut text = format!("{:<22}{:>10}{:>10}{:>11}{:>10}\n", "figure", "a", "b", "b less a", "spread");
+    let mut text = format!("{:<22}{:>10}{:>10}{:>11}{:>10}\n", "figure", "a", "b", "b - a", "spread");
     for difference in differences {
-        let remark = if difference.is_significant() { "" } else { "  no difference seen" };
+        let remark = if difference.is_significant() { "" } else { "  not significant" };
         text += &format!(
             "{:<22}{:>10.3}{:>10.3}{:>+11.3}{:>10.3}{remark}\n",
             difference.figure,
--- a/crates/pondlb-lab/src/compare/tests.rs
+++ b/crates/pondlb-lab/src/compare/tests.rs
@@ -34,16 +34,16 @@
         trace += &table(p99_of_browse, &pairs);
     }
     expect![[r#"
-        figure                         a         b   b less a    spread
-        browse, p99 ms            10.000    20.000    +10.000       inf  no difference seen
+        figure                         a         b      b - a    spread
+        browse, p99 ms            10.000    20.000    +10.000       inf  not significant
         1 pairs, 0 of them void and left out
         broken rules: 0 with a, 0 with b
-        figure                         a         b   b less a    spread
+        figure                         a         b      b - a    spread
         browse, p99 ms            10.000    20.333    +10.333     3.795
         4 pairs, 1 of them void and left out
         broken rules: 0 with a, 0 with b
-        figure                         a         b   b less a    spread
-        browse, p99 ms            10.500    11.500     +1.000    25.412  no difference seen
+        figure                         a         b      b - a    spread
+        browse, p99 ms            10.500    11.500     +1.000    25.412  not significant
         2 pairs, 0 of them void and left out
         broken rules: 0 with a, 0 with b
     "#]]
--- a/crates/pondlb-lab/src/report.rs
+++ b/crates/pondlb-lab/src/report.rs
@@ -99,7 +99,7 @@
             page += &format!("<h2>{}: outcomes in each half second</h2>", escape(&class.name));
             page += &svg(|area| draw_outcomes(area, scenario, outcomes))?;
         }
-        page += "<h2>latency of what settled: median and 99th percentile, ms</h2>";
+        page += "<h2>latency of settled requests: median and 99th percentile, ms</h2>";
         let lines: Vec<Vec<f64>> =
             (0..2).map(|n| timeline.latency.iter().map(|percentiles| percentiles[n]).collect()).collect();
         page += &svg(|area| draw_lines(area, scenario, &lines, &["median", "99th percentile"]))?;
--- a/crates/pondlb-lab/src/run.rs
+++ b/crates/pondlb-lab/src/run.rs
@@ -24,7 +24,7 @@
 const LOAD_START_DELAY: Duration = Duration::from_millis(100);
 /// How often balancers are checked for unexpected exits.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest latency that is told apart, in microseconds.
+/// The longest latency that histograms resolve, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
--- a/crates/pondlb-lab/src/scenario.rs
+++ b/crates/pondlb-lab/src/scenario.rs
@@ -265,6 +265,24 @@
 /// How much more work a heavy request has than an ordinary one.
 const HEAVY_WORK_FACTOR: f64 = 10.0;
 
+/// The errors found so far.
+#[derive(Default)]
+struct Checks {
+    errors: Vec<ScenarioError>,
+}
+
+impl Checks {
+    /// Adds the error if the condition does not hold.
+    fn require(&mut self, condition: bool, error: ScenarioError) {
+        self.errors.extend((!condition).then_some(error));
+    }
+}
+
+/// Whether the value is at least `min` and at most `max`. Not a number is never within.
+fn is_within(value: f64, min: f64, max: f64) -> bool {
+    value >= min && value <= max
+}
+
 impl Scenario {
     /// Parses a scenario and checks it.
     ///
@@ -277,76 +295,93 @@
     }
 
     fn find_errors(&self) -> Vec<ScenarioError> {
-        let mut errors = Vec::new();
-        let mut check = |ok: bool, error: String| errors.extend((!ok).then_some(error));
-        let within = |value: f64, min: f64, max: f64| value >= min && value <= max;
-        check(
-            within(self.seconds, 0.1, MAX_DURATION_SECONDS),
+        let mut checks = Checks::default();
+        self.check_sizes(&mut checks);
+        self.check_upstreams(&mut checks);
+        self.check_classes(&mut checks);
+        self.check_bursts(&mut checks);
+        self.check_faults(&mut checks);
+        checks.errors
+    }
+
+    fn upstream_count(&self) -> u64 {
+        self.upstreams.iter().map(|spec| u64::from(spec.count)).sum()
+    }
+
+    fn check_sizes(&self, checks: &mut Checks) {
+        checks.require(
+            is_within(self.seconds, 0.1, MAX_DURATION_SECONDS),
             format!("seconds: {}: must be 0.1 to 600", self.seconds),
         );
-        check(
+        checks.require(
             (1..=MAX_BALANCERS).contains(&self.balancers),
             format!("balancers: {}: must be 1 to {MAX_BALANCERS}", self.balancers),
         );
         let unknown = self.probing_balancers.iter().find(|n| **n >= self.balancers);
-        check(
+        checks.require(
             unknown.is_none(),
             format!("asking: {}: must be below {}", unknown.unwrap_or(&0), self.balancers),
         );
-        check(
-            within(self.min_in_time_share, 0.0, 1.0),
+        checks.require(
+            is_within(self.min_in_time_share, 0.0, 1.0),
             format!("least_in_time: {}: must be 0 to 1", self.min_in_time_share),
         );
-        check(!self.upstreams.is_empty(), "upstreams: at least one is required".into());
-        check(!self.classes.is_empty(), "schemes: at least one is required".into());
-        let upstream_count = self.upstreams.iter().map(|spec| u64::from(spec.count)).sum::<u64>();
-        check(
+        checks.require(!self.upstreams.is_empty(), "upstreams: at least one is required".into());
+        checks.require(!self.classes.is_empty(), "schemes: at least one is required".into());
+        let upstream_count = self.upstream_count();
+        checks.require(
             upstream_count <= u64::from(MAX_UPSTREAMS),
             format!("upstreams: {upstream_count} in total: must be at most {MAX_UPSTREAMS}"),
         );
+    }
+
+    fn check_upstreams(&self, checks: &mut Checks) {
         for (n, spec) in self.upstreams.iter().enumerate() {
-            check(spec.count >= 1, format!("upstreams[{n}].count: 0: must be at least 1"));
-            check(
+            checks.require(spec.count >= 1, format!("upstreams[{n}].count: 0: must be at least 1"));
+            checks.require(
                 (1..=256).contains(&spec.cores),
                 format!("upstreams[{n}].cores: {}: must be 1 to 256", spec.cores),
             );
-            check(
-                within(spec.speed_factor, 0.01, 100.0),
+            checks.require(
+                is_within(spec.speed_factor, 0.01, 100.0),
                 format!("upstreams[{n}].speed: {}: must be 0.01 to 100", spec.speed_factor),
             );
-            check(
-                within(spec.handshake_ms, 0.0, 1000.0),
+            checks.require(
+                is_within(spec.handshake_ms, 0.0, 1000.0),
                 format!("upstreams[{n}].handshake_ms: {}: must be 0 to 1000", spec.handshake_ms),
             );
         }
+    }
+
+    fn check_classes(&self, checks: &mut Checks) {
         for (n, class) in self.classes.iter().enumerate() {
             let key = |key: &str| format!("schemes[{n}].{key}");
-            check(class.sla_ms >= 1, format!("{}: 0: must be at least 1", key("sla_ms")));
-            check(
+            checks.require(class.sla_ms >= 1, format!("{}: 0: must be at least 1", key("sla_ms")));
+            checks.require(
                 class.deadline_ms <= 60_000,
                 format!("{}: {}: must be at most 60000", key("expiry_ms"), class.deadline_ms),
             );
-            check(
+            checks.require(
                 class.deadline_ms >= class.sla_ms,
                 format!("{}: {}: must be at least sla_ms", key("expiry_ms"), class.deadline_ms),
             );
-            check(
-                within(class.requests_per_second, 0.0, 100_000.0),
+            checks.require(
+                is_within(class.requests_per_second, 0.0, 100_000.0),
                 format!("{}: {:?}: must be 0 to 100000", key("rate"), class.requests_per_second),
             );
-            check(
-                within(class.work_ms, 0.01, 60_000.0),
+            checks.require(
+                is_within(class.work_ms, 0.01, 60_000.0),
                 format!("{}: {}: must be 0.01 to 60000", key("work_ms"), class.work_ms),
             );
-            check(
-                within(class.heavy_share, 0.0, 1.0),
+            checks.require(
+                is_within(class.heavy_share, 0.0, 1.0),
                 format!("{}: {}: must be 0 to 1", key("heavy"), class.heavy_share),
             );
-            check(
-                within(class.value, 0.0, 1e6),
+            checks.require(
+                is_within(class.value, 0.0, 1e6),
                 format!("{}: {}: must be 0 to 1000000", key("value"), class.value),
             );
-            check(
+            checks.require(
                 self.classes[..n].iter().all(|other| other.name != class.name),
                 format!("{}: {:?}: is used by another scheme", key("name"), class.name),
             );
@@ -354,56 +389,64 @@
         let requests = self.classes.iter().map(|class| class.requests_per_second).sum::<f64>()
             * self.seconds
             * self.max_rate_factor();
-        check(
+        checks.require(
             requests <= MAX_REQUESTS,
             format!("schemes: {requests:?} txns in total: must be at most 2000000"),
         );
+    }
+
+    fn check_bursts(&self, checks: &mut Checks) {
         for (n, burst) in self.bursts.iter().enumerate() {
-            check(
-                within(burst.at_seconds, 0.0, self.seconds),
+            checks.require(
+                is_within(burst.at_seconds, 0.0, self.seconds),
                 format!("bursts[{n}].at: {}: must be within the run", burst.at_seconds),
             );
-            check(
-                within(burst.duration_seconds, 0.0, MAX_DURATION_SECONDS),
+            checks.require(
+                is_within(burst.duration_seconds, 0.0, MAX_DURATION_SECONDS),
                 format!("bursts[{n}].for: {}: must be 0 to 600", burst.duration_seconds),
             );
-            check(
-                within(burst.rate_factor, 1.0, 100.0),
+            checks.require(
+                is_within(burst.rate_factor, 1.0, 100.0),
                 format!("bursts[{n}].times: {}: must be 1 to 100", burst.rate_factor),
             );
         }
+    }
+
+    fn check_faults(&self, checks: &mut Checks) {
         for (n, fault) in self.faults.iter().enumerate() {
             let zone_exists = fault.kind != FaultKind::KillZone
                 || self.upstreams.iter().any(|spec| spec.zone == fault.zone);
-            check(zone_exists, format!("faults[{n}].zone: {:?}: no upstream is in this zone", fault.zone));
+            checks.require(
+                zone_exists,
+                format!("faults[{n}].zone: {:?}: no upstream is in this zone", fault.zone),
+            );
             let has_end = fault.kind != FaultKind::Replace || fault.duration_seconds.is_some();
-            check(
+            checks.require(
                 has_end,
                 format!("faults[{n}].for: missing: the time until the old process ends is required"),
             );
-            check(
-                within(fault.at_seconds, 0.0, self.seconds),
+            checks.require(
+                is_within(fault.at_seconds, 0.0, self.seconds),
                 format!("faults[{n}].at: {}: must be within the run", fault.at_seconds),
             );
-            check(
-                fault.duration_seconds.is_none_or(|s| within(s, 0.0, MAX_DURATION_SECONDS)),
+            checks.require(
+                fault.duration_seconds.is_none_or(|s| is_within(s, 0.0, MAX_DURATION_SECONDS)),
                 format!("faults[{n}].for: {:?}: must be 0 to 600", fault.duration_seconds),
             );
-            check(
-                within(fault.factor, 1.0, 1e6),
+            checks.require(
+                is_within(fault.factor, 1.0, 1e6),
                 format!("faults[{n}].factor: {}: must be 1 to 1000000", fault.factor),
             );
             let target_count = match fault.kind {
                 FaultKind::KillBalancer => u64::from(self.balancers),
                 FaultKind::DiscoveryDown => 1,
-                _ => upstream_count,
+                _ => self.upstream_count(),
             };
-            check(
+            checks.require(
                 (fault.target_index as u64) < target_count,
                 format!("faults[{n}].which: {}: must be below {target_count}", fault.target_index),
             );
         }
-        errors
     }
 
     /// The upstreams one by one, in the order of their indices.
