--- a/crates/pondlb-lab/src/fleet.rs
+++ b/crates/pondlb-lab/src/fleet.rs
@@ -12,7 +12,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::http::{HttpConnection, format_response};
+use crate::http::{HttpConnection, Message, format_response};
 use crate::ledger::{DrainNotice, Ledgers, UpstreamAttempt, UpstreamStart};
 use crate::scenario::{Fault, FaultKind, Rules, UpstreamSpec};
 
@@ -65,6 +65,12 @@
         sleep_until(Instant::now() + ACCEPT_RETRY_DELAY).await;
     }
 
+    fn take_response_number(&self) -> u64 {
+        let number = self.next_response.get();
+        self.next_response.set(number + 1);
+        number
+    }
+
     /// Records an attempt and returns its index in the ledger.
     fn record_attempt(&self, attempt: &UpstreamAttempt) -> usize {
         let mut ledgers = self.ledgers.borrow_mut();
@@ -189,6 +195,7 @@
         self.open_connections.set(self.open_connections.get() - 1);
     }
 
+    /// Answers the requests on one connection, as the faults in effect have it, until the balancer closes it.
     async fn answer_requests(
         &self,
         recorder: &Rc<Recorder>,
@@ -206,19 +213,8 @@
                 connection.write(&format_response(200, &load, "")).await?;
                 continue;
             }
-            let id = request.header("Req-Id").unwrap_or_default().to_string();
-            let work_us = request.header("Req-Cost").and_then(|cost| cost.parse().ok()).unwrap_or_default();
-            let (upstream, incarnation) = (self.index, self.incarnation.get());
-            let attempt = UpstreamAttempt {
-                id,
-                upstream,
-                incarnation,
-                balancer,
-                first_byte_us,
-                last_byte_us,
-                work_us,
-                ..UpstreamAttempt::default()
-            };
+            let attempt =
+                UpstreamAttempt { first_byte_us, last_byte_us, ..self.parse_attempt(&request, balancer) };
             let entry = recorder.record_attempt(&attempt);
             let outstanding = OutstandingAttempt { recorder, entry };
             self.request_count.set(self.request_count.get() + 1);
@@ -253,8 +249,7 @@
                 return connection.wait_for_data().await.map(drop);
             }
             drop((in_flight, outstanding));
-            let number = recorder.next_response.get();
-            recorder.next_response.set(number + 1);
+            let number = recorder.take_response_number();
             let body = format!("{} by {} as answer {number}", attempt.id, self.index);
             let text = format_response(200, &load, &body);
             if self.has_fault(FaultKind::Cut) {
@@ -270,6 +265,18 @@
         Ok(())
     }
 
+    /// The attempt that a request is, without its times.
+    fn parse_attempt(&self, request: &Message, balancer: u32) -> UpstreamAttempt {
+        UpstreamAttempt {
+            id: request.header("Req-Id").unwrap_or_default().to_string(),
+            upstream: self.index,
+            incarnation: self.incarnation.get(),
+            balancer,
+            work_us: request.header("Req-Cost").and_then(|cost| cost.parse().ok()).unwrap_or_default(),
+            ..UpstreamAttempt::default()
+        }
+    }
+
     /// Waits for the first free core, and then for as long as the work takes on it. A core is only the time at which
     /// it is free again, so that hundreds of them need no processor.
     async fn work(&self, recorder: &Recorder, entry: usize, work_us: u64) {
