--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -239,7 +239,7 @@
 
     /// Runs the main loop until a shutdown is complete.
     pub async fn run(mut self) -> io::Result<()> {
-        let mut batch = Vec::with_capacity(MAX_EVENTS_PER_STEP);
+        let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         while !self.is_over() {
             self.update_phase();
             let router_wakeup = self.router.next_wakeup().map(|at| self.clock.instant_of(at));
@@ -252,11 +252,11 @@
                 _ = self.interrupt.recv(), if is_running => self.begin_shutdown(),
                 _ = self.hangup.recv() => self.reload_configuration(),
                 Some(update) = self.settings_rx.recv() => self.apply_settings_update(update),
-                _ = self.router_rx.recv_many(&mut batch, MAX_EVENTS_PER_STEP) => {}
+                _ = self.router_rx.recv_many(&mut events, MAX_EVENTS_PER_STEP) => {}
                 () = self.connections.slot_freed.notified(), if self.is(Phase::Closing) => {}
                 () = sleep_until(next_wakeup.unwrap_or_else(Instant::now)), if next_wakeup.is_some() => {}
             }
-            self.router.handle_events(self.clock.now(), batch.drain(..));
+            self.router.handle_events(self.clock.now(), events.drain(..));
             if self.last_metrics.at.elapsed() >= METRICS_LOG_INTERVAL {
                 self.log_metrics();
             }
--- a/crates/pondlb-server/src/protocol/control.rs
+++ b/crates/pondlb-server/src/protocol/control.rs
@@ -24,10 +24,10 @@
     list
 }
 
-/// The classes, tenants and limits that an update changes, in the order in which they are to be put in force.
+/// The classes, tenants and limits that an update changes, in the order in which they are to be applied.
 #[derive(Clone, Debug, Default)]
 pub struct SettingRecords {
-    /// Put in force together, since they may depend on each other.
+    /// Applied together, since they may depend on each other.
     pub classes_and_limits: Vec<Change>,
     /// May be many, and don't depend on each other.
     pub tenants: Vec<Change>,
--- a/crates/pondlb-server/src/routing/events.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -59,11 +59,11 @@
         /// Notified once the changes are applied.
         applied_sender: oneshot::Sender<()>,
     },
-    /// The list was up to date at that time, or discovery could be reached by nobody then.
+    /// The list was up to date at that time, or no balancer could have been told of a change by then.
     ListConfirmed { at: TenthMillis },
     /// Discovery refused a call, or its response was not a list.
     ListRefused,
-    /// A call to discovery reached nobody, or its connection broke.
+    /// A call did not reach discovery, or its connection broke.
     DiscoveryUnreachable,
     /// A watch got no response before its timeout.
     WatchTimedOut,
--- a/crates/pondlb-server/src/routing/metrics.rs
+++ b/crates/pondlb-server/src/routing/metrics.rs
@@ -28,7 +28,7 @@
     pub lists: u64,
     /// Calls to discovery that were refused or whose response was not a list.
     pub calls_refused: u64,
-    /// Calls to discovery that reached nobody, or whose connection broke.
+    /// Calls that did not reach discovery, or whose connection broke.
     pub calls_unreached: u64,
     /// Calls to discovery that got no response in time.
     pub calls_silent: u64,
--- a/crates/pondlb-server/src/routing/recent_ids.rs
+++ b/crates/pondlb-server/src/routing/recent_ids.rs
@@ -9,7 +9,7 @@
 const MAX_RECENT_IDS: usize = 8192;
 
 /// The ids of the requests of the last [`ID_RETENTION`], of which the newest [`MAX_RECENT_IDS`] are kept. Clients use a
-/// new id for each request, so whoever sends a recent one again has it from somebody else.
+/// new id for each request, so a recent one that arrives again was copied from another client.
 #[derive(Default)]
 pub struct RecentRequestIds {
     ids: HashSet<RequestId>,
--- a/crates/pondlb-server/src/routing/router.rs
+++ b/crates/pondlb-server/src/routing/router.rs
@@ -68,9 +68,9 @@
     timer: Option<Timer>,
     /// By when every request must have its answer, whatever its deadline; the process is killed soon after.
     shutdown_deadline: Option<TenthMillis>,
-    /// How much before its deadline a request must have its answer, since the event loop may run late.
+    /// How much before its deadline a request must have its answer, since the main loop may run late.
     deadline_margin: TenthMillis,
-    /// The list of upstreams is incomplete until the first snapshot of the control servers is in force.
+    /// The list of upstreams is incomplete until the first snapshot of the control servers is applied.
     awaits_first_snapshot: bool,
     metrics: Metrics,
 }
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Treats the list of upstreams as incomplete until the first snapshot of the control servers is in force.
+    /// Treats the list of upstreams as incomplete until the first snapshot of the control servers is applied.
     pub fn await_first_snapshot(&mut self) {
         self.awaits_first_snapshot = true;
     }
 
-    /// Puts validated changes of the configuration in force. Open requests are finished under the configuration with
+    /// Applies validated changes of the configuration. Open requests are finished under the configuration with
     /// which they arrived.
     pub fn apply_config_changes(&mut self, now: TenthMillis, changes: &[ConfigChange]) {
         self.balancer.apply(changes);
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -137,7 +137,7 @@
 /// Sends an attempt and reads the response.
 ///
 /// The upstream can't have run the attempt until its last byte is written, and may have run it from then on;
-/// `is_written` is set at that moment. Nothing is ever written twice, so that only the decisions retry a request.
+/// `is_written` is set at that moment. Nothing is ever written twice, so that only the balancer decides whether a request is retried.
 async fn run_attempt(
     pool: &Rc<UpstreamPool>,
     clock: Clock,
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -50,7 +50,7 @@
     /// The wait advised to clients whose requests are rejected for overload before they reach the router; none is
     /// advised where it is `None`.
     pub overload_retry_after: Cell<Option<TenthMillis>>,
-    /// Where requests, and clients that disconnect, are reported.
+    /// Where requests, and the disconnects of clients, are sent.
     pub router_tx: mpsc::UnboundedSender<RouterEvent>,
     pub phase: watch::Receiver<Phase>,
 }
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -7,8 +7,8 @@
 use super::error::CallError;
 use crate::protocol::discovery::UpstreamList;
 
-/// After this many unanswered calls in a row, each on a connection of its own, discovery is taken to answer nobody. A
-/// single unanswered call may be the fault of its connection.
+/// After this many unanswered calls in a row, each on a connection of its own, discovery is taken to respond to no
+/// balancer. A single unanswered call may be the fault of its connection.
 const UNANSWERED_CALLS_THRESHOLD: u32 = 2;
 
 /// Derives the time up to which the list is confirmed from the calls, one after the other.
--- a/crates/pondlb-server/src/transport/discovery/error.rs
+++ b/crates/pondlb-server/src/transport/discovery/error.rs
@@ -18,8 +18,8 @@
     TimedOut,
     /// The connection was not established in time.
     ConnectTimedOut,
-    /// Discovery is not there: nobody listens at its address, the network has no route to it, or a proxy in front of
-    /// it did not reach it.
+    /// Discovery can't be reached: nothing listens at its address, the network has no route to it, or a proxy in front
+    /// of it did not reach it.
     Unreachable(String),
     /// The connection broke, or this machine could not open one.
     ConnectionBroken(String),
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -39,10 +39,11 @@
     /// How long discovery may hold the first call of a watch. It is short, so that the response soon shows that the
     /// watch works.
     pub first_hold: Duration,
-    /// How long discovery may hold the other calls of a watch. A change that a silent watch misses counts as announced
-    /// six seconds later, and part of these must be left for the call that replaces the silent one.
+    /// How long discovery may hold the other calls of a watch. A change that a watch misses because it gets no response
+    /// counts as announced six seconds later, and part of these must be left for the call that replaces the one that
+    /// timed out.
     pub hold: Duration,
-    /// How much longer than its hold a call of a watch may take before the watch counts as silent.
+    /// How much longer than its hold a call of a watch may take before it times out.
     pub response_margin: Duration,
     /// How much longer than its hold a first call or a fetch may take. Discovery queues such calls of all balancers,
     /// and rejects those that would wait for more than two seconds.
@@ -65,9 +66,9 @@
     pub backoff: Backoff,
 }
 
-/// Calls discovery as the decisions command, and reports lists and failures to the router.
+/// Calls discovery as the balancer commands, and reports lists and failures to the router.
 ///
-/// The decisions choose when to retry after a failure, except after a list that is too long: it is unlikely to become
+/// The balancer chooses when to retry after a failure, except after a list that is too long: it is unlikely to become
 /// shorter soon and costly for both ends, so it is requested again with backoff here.
 pub async fn follow_discovery(
     address: SocketAddr,
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Adds the client's event for the call to the trace. After a failure it commands a new watch, as the decisions do.
+    /// Adds the client's event for the call to the trace. After a failure it commands a new watch, as the balancer
+    /// does.
     async fn trace_event(&mut self) {
         let event = self.next_event().await;
         let (is_failure, description) = match &event {
@@ -138,9 +139,9 @@
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Guards against a change of the list that the balancer never learns of. The decisions react differently to a call
-/// that timed out, one that reached nobody and one that was rejected, so each must be reported as what it is, and
-/// nothing of an invalid list may be applied.
+/// Guards against a change of the list that the balancer never learns of. The balancer reacts differently to a call
+/// that timed out, one that did not reach discovery and one that was rejected, so each must be reported as what it is,
+/// and nothing of an invalid list may be applied.
 #[test]
 fn timeouts_unreached_calls_and_rejections_are_reported_as_such_and_invalid_lists_are_not_applied() {
     let status = |line: &str| format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n");
