--- a/crates/pondlb-lab/src/slopes/bench.rs
+++ b/crates/pondlb-lab/src/slopes/bench.rs
@@ -1,4 +1,4 @@
-//! One balancer between stand-ins, and what it spends over a while.
+//! Runs balancers between stubs of discovery and upstreams, and measures what they use over a span of time.
 
 use std::cell::Cell;
 use std::io;
@@ -9,247 +9,276 @@
 use tempfile::TempDir;
 use tokio::time::{Instant, sleep};
 
-use super::configuration::{First, Size, configuration};
-use super::listing::Listing;
-use super::load::{Latency, Load, Way};
-use super::pace::Pace;
-use super::probe::Scheduled;
-use super::running::Running;
-use super::stand_in::{Discovery, Traffic, Upstreams};
+use super::balancer_process::BalancerProcess;
+use super::configuration::{ConfigurationSize, InitialList, balancer_configuration};
+use super::load_generator::{Latency, LoadGenerator, LoadTarget};
+use super::pacer::Pacer;
+use super::process_stats::ProcessorTime;
+use super::stubs::{DiscoveryStub, Traffic, UpstreamStubs};
+use super::upstream_list::UpstreamList;
 use crate::balancers::Program;
 use crate::fleet::Recorder;
 use crate::judge;
 
-/// Addresses that all listed upstreams share.
-const ADDRESSES: usize = 16;
-const HEARD_STEP: Duration = Duration::from_millis(5);
-/// A balancer uses as many upstreams as it has requests in some seconds; this is twice their half-life and more.
-const SUBSET_GROWS: Duration = Duration::from_secs(15);
-/// Until the connections of a new load are up.
-const WARM_UP: Duration = Duration::from_secs(2);
-/// A little longer than a call to discovery waits for news.
-const SETTLE: Duration = Duration::from_millis(1500);
+/// Number of addresses that all listed upstreams share.
+const UPSTREAM_ADDRESSES: usize = 16;
+/// Time between two checks whether a balancer has confirmed a version of the list.
+const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time for the number of upstreams in use to settle under a new load. A balancer uses as many upstreams as it has
+/// requests within some seconds, counted with decay; this is more than twice the half-life of that count.
+const SUBSET_GROWTH_TIME: Duration = Duration::from_secs(15);
+/// Time for the connections of a new load to be opened.
+const CONNECTION_WARM_UP_TIME: Duration = Duration::from_secs(2);
+/// Time after the start of a balancer before its idle usage is measured, a little longer than a call to discovery is
+/// held without changes.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Times say nothing of a program that waited for a processor for more than this part of the time that it ran.
-const MOST_WAITED: f64 = 0.5;
+/// Measured times are void if the programs waited for a processor for longer than this share of the time that they ran
+/// on one.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// What all measurements of one call share.
+/// The environment that all measurements of a run share.
 pub struct Bench {
-    /// The balancer.
+    /// The balancer program.
     pub program: Program,
+    /// Holds the configuration files and logs of the balancers.
     folder: TempDir,
-    /// The clock, and how late the laboratory was by it.
-    pub book: Rc<Recorder>,
-    /// Stand-ins for all upstreams that are listed.
-    pub upstreams: Upstreams,
+    /// The clock of the load generators, and a record of how late the laboratory's own timers fired.
+    pub recorder: Rc<Recorder>,
+    /// Stubs for all listed upstreams.
+    pub upstreams: UpstreamStubs,
     /// How long one point is measured.
     pub span: Duration,
+    /// Factor by which sizes are scaled down.
     share: f64,
-    started: Cell<u32>,
-    loads: Cell<u32>,
-    /// What all measured programs were given while they served.
-    serving: Cell<Scheduled>,
+    /// Number of balancers started so far, the number of the next one.
+    started_balancers: Cell<u32>,
+    /// Number of loads started so far, the number of the next one.
+    started_loads: Cell<u32>,
+    /// Processor time of all measured programs under load, since the last call of `take_void_reason`.
+    serving_time: Cell<ProcessorTime>,
 }
 
-/// What was spent over a while.
+/// What a balancer used over a span of time.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
-    /// How long it was.
+pub struct Usage {
+    /// Length of the span.
     pub span: Duration,
-    /// The balancer's processor time.
-    pub scheduled: Scheduled,
-    /// Calls to discovery and their bytes.
+    /// Processor time of the balancer.
+    pub processor_time: ProcessorTime,
+    /// Calls of all balancers to discovery, and their bytes.
     pub traffic: Traffic,
 }
 
-impl Spent {
-    /// Processor time in milliseconds for each second.
+impl Usage {
+    /// Processor time, in milliseconds per second.
     pub fn processor_ms_per_second(&self) -> f64 {
-        self.scheduled.ran_ms() / self.span.as_secs_f64()
+        self.processor_time.on_cpu_ms() / self.span.as_secs_f64()
     }
 }
 
-/// What was seen of a balancer under load.
+/// Usage and latencies of a balancer under load.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
-    /// What it spent.
-    pub spent: Spent,
-    /// Through the balancer.
-    pub through: Latency,
-    /// Straight to an upstream, in the same while.
-    pub direct: Latency,
-    /// Connections that the upstreams held at the end, the direct ones left out.
-    pub connections: usize,
-    /// Descriptors that the balancer had open.
+pub struct LoadMeasurement {
+    /// What the balancer used.
+    pub usage: Usage,
+    /// Latencies of responses through the balancer.
+    pub balancer_latency: Latency,
+    /// Latencies of responses from an upstream directly, in the same span.
+    pub direct_latency: Latency,
+    /// Open connections of the upstreams at the end, without those of the direct load.
+    pub upstream_connections: usize,
+    /// Open file descriptors of the balancer at the end.
     pub descriptors: usize,
 }
 
 impl Bench {
-    /// Stand-ins listen; no balancer runs yet.
+    /// Starts the stubs of the upstreams. No balancer runs yet.
     ///
     /// # Errors
-    /// The machine has no port or folder to give.
+    /// No port can be bound, or no temporary directory can be created.
     pub async fn open(program: Program, span: Duration, share: f64) -> io::Result<Bench> {
         Ok(Bench {
             program,
             folder: tempfile::tempdir()?,
-            book: Recorder::new(),
-            upstreams: Upstreams::start(ADDRESSES).await?,
+            recorder: Recorder::new(),
+            upstreams: UpstreamStubs::start(UPSTREAM_ADDRESSES).await?,
             span,
             share,
-            started: Cell::new(0),
-            loads: Cell::new(0),
-            serving: Cell::default(),
+            started_balancers: Cell::new(0),
+            started_loads: Cell::new(0),
+            serving_time: Cell::default(),
         })
     }
 
-    /// Why the times measured since the last call say nothing, if they do not.
-    pub fn void(&self) -> Option<String> {
-        let Scheduled { ran, waited } = self.serving.take();
+    /// Why the times measured since the last call are not meaningful; none if they are.
+    pub fn take_void_reason(&self) -> Option<String> {
+        let ProcessorTime { on_cpu, run_queue_wait } = self.serving_time.take();
         let busy = || {
-            let (ran, waited) = (ran.as_millis(), waited.as_millis());
+            let (ran, waited) = (on_cpu.as_millis(), run_queue_wait.as_millis());
             format!("while they served, programs ran for {ran} ms and waited for a processor for {waited} ms")
         };
-        let late = judge::void_reason(&self.book.ledgers.take());
-        late.or_else(|| (waited.as_secs_f64() > MOST_WAITED * ran.as_secs_f64()).then(busy))
+        let late = judge::void_reason(&self.recorder.ledgers.take());
+        late.or_else(|| (run_queue_wait.as_secs_f64() > MAX_WAIT_SHARE * on_cpu.as_secs_f64()).then(busy))
     }
 
-    /// A size as it is played: the asked share of it.
+    /// A size multiplied by the share that was asked for, at least 1.
     pub fn scaled(&self, size: usize) -> usize {
         ((size as f64 * self.share).round() as usize).max(1)
     }
 
-    /// Discovery with a list of so many upstreams.
+    /// Starts a discovery stub with a list of this many upstreams.
     ///
     /// # Errors
-    /// No port is free.
-    pub async fn discovery(&self, upstreams: usize) -> io::Result<Discovery> {
-        Discovery::start(Listing::new(self.upstreams.addresses.clone(), upstreams)).await
+    /// No port can be bound.
+    pub async fn start_discovery(&self, upstreams: usize) -> io::Result<DiscoveryStub> {
+        DiscoveryStub::start(UpstreamList::new(self.upstreams.addresses.clone(), upstreams)).await
     }
 
     /// Starts a balancer and waits until it is ready.
     ///
     /// # Errors
-    /// It can't be started, or ends by itself.
-    pub async fn start(&self, discovery: &Discovery, size: Size, first: First) -> io::Result<Running> {
-        let text = |number, listen| configuration(number, listen, discovery, size, first);
-        self.start_program(&self.program, text).await
+    /// The process can't be started or exits on its own.
+    pub async fn start_balancer(
+        &self,
+        discovery: &DiscoveryStub,
+        size: ConfigurationSize,
+        initial_list: InitialList,
+    ) -> io::Result<BalancerProcess> {
+        let configuration =
+            |number, listen| balancer_configuration(number, listen, discovery, size, initial_list);
+        self.start_program(&self.program, configuration).await
     }
 
-    /// Starts a program with the configuration for its number and address, and waits until it is ready.
+    /// Starts a program with the configuration that the function returns for its number and address, and waits until it
+    /// is ready.
     ///
     /// # Errors
-    /// It can't be started, or ends by itself.
+    /// The process can't be started or exits on its own.
     pub async fn start_program(
         &self,
         program: &Program,
         configuration: impl FnOnce(u32, SocketAddr) -> String,
-    ) -> io::Result<Running> {
-        let number = self.started.replace(self.started.get() + 1);
+    ) -> io::Result<BalancerProcess> {
+        let number = self.started_balancers.replace(self.started_balancers.get() + 1);
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        Running::start(program, self.folder.path(), number, address, &configuration(number, address)).await
+        BalancerProcess::start(program, self.folder.path(), number, address, &configuration(number, address))
+            .await
     }
 
-    /// Counts what a measured program was given while it served.
-    pub fn note_serving(&self, scheduled: &Scheduled) {
-        self.serving.set(self.serving.get().and(scheduled));
+    /// Adds the processor time of a measured program under load to the check of [`Bench::take_void_reason`].
+    pub fn record_serving_time(&self, processor_time: &ProcessorTime) {
+        self.serving_time.set(self.serving_time.get().plus(processor_time));
     }
 
-    /// What a balancer spends in the span of a measurement, and in so long before it nothing is counted.
+    /// Measures what a balancer uses over the measuring span, with the traffic of all balancers to discovery.
     ///
     /// # Errors
     /// The balancer has ended.
-    pub async fn spend(&self, running: &Running, discovery: &Discovery) -> io::Result<Spent> {
-        self.spend_beside(running, discovery, async {}).await
+    pub async fn measure_usage(
+        &self,
+        balancer: &BalancerProcess,
+        discovery: &DiscoveryStub,
+    ) -> io::Result<Usage> {
+        self.measure_usage_during(balancer, discovery, async {}).await
     }
 
-    /// As [`Bench::spend`], while something else goes on that may end sooner or later.
+    /// Like [`Bench::measure_usage`], while `activity` runs. The span lasts until `activity` has ended, and at least
+    /// for the measuring span.
     ///
     /// # Errors
     /// The balancer has ended.
-    pub async fn spend_beside(
+    pub async fn measure_usage_during(
         &self,
-        running: &Running,
-        discovery: &Discovery,
-        other: impl Future<Output = ()>,
-    ) -> io::Result<Spent> {
-        let (begun, before) = (Instant::now(), running.process.scheduled()?);
+        balancer: &BalancerProcess,
+        discovery: &DiscoveryStub,
+        activity: impl Future<Output = ()>,
+    ) -> io::Result<Usage> {
+        let (start, before) = (Instant::now(), balancer.process.processor_time()?);
         let traffic = discovery.traffic();
-        tokio::join!(sleep(self.span), other);
-        let scheduled = running.process.scheduled()?.since(&before);
-        Ok(Spent { span: begun.elapsed(), scheduled, traffic: discovery.traffic().since(&traffic) })
+        tokio::join!(sleep(self.span), activity);
+        let processor_time = balancer.process.processor_time()?.since(&before);
+        Ok(Usage { span: start.elapsed(), processor_time, traffic: discovery.traffic().since(&traffic) })
     }
 
-    /// Nothing to do until what came with the start is over.
+    /// Waits until the work that follows the start of a balancer is done.
     pub async fn settle(&self) {
-        sleep(SETTLE.min(self.span)).await;
+        sleep(SETTLE_TIME.min(self.span)).await;
     }
 
-    /// Sends so many requests a second on each of the ways until it is dropped.
-    pub fn load(&self, ways: Vec<Rc<Way>>, rate: f64) -> Load {
-        let number = self.loads.replace(self.loads.get() + 1);
-        Load::start(self.book.clone(), ways, rate, format!("load-{number}"))
+    /// Sends `rate` requests per second to each target until the generator is dropped.
+    pub fn start_load(&self, targets: Vec<Rc<LoadTarget>>, rate: f64) -> LoadGenerator {
+        let number = self.started_loads.replace(self.started_loads.get() + 1);
+        LoadGenerator::start(self.recorder.clone(), targets, rate, format!("load-{number}"))
     }
 
-    /// Waits until a balancer under load uses as many upstreams as it will.
-    pub async fn grow(&self) {
-        sleep(SUBSET_GROWS.min(3 * self.span)).await;
+    /// Waits until the number of upstreams that a balancer uses under the current load has settled.
+    pub async fn wait_for_subset_growth(&self) {
+        sleep(SUBSET_GROWTH_TIME.min(3 * self.span)).await;
     }
 
-    /// Sends requests until the balancer uses as many upstreams as it will at this rate.
+    /// Sends requests until the number of upstreams that the balancer uses at this rate has settled.
     ///
     /// # Errors
-    /// No histogram can be made.
-    pub async fn warm_up(&self, running: &Running, class: &str, rate: f64) -> io::Result<()> {
-        let load = self.load(vec![Way::new(running.address, class)?], rate);
-        self.grow().await;
+    /// The histogram can't be created.
+    pub async fn warm_up(&self, balancer: &BalancerProcess, class: &str, rate: f64) -> io::Result<()> {
+        let load = self.start_load(vec![LoadTarget::new(balancer.address, class)?], rate);
+        self.wait_for_subset_growth().await;
         drop(load);
         Ok(())
     }
 
-    /// Sends so many requests a second through the balancer and as many straight to an upstream, while something else
-    /// goes on.
+    /// Measures a balancer while `activity` runs, under `rate` requests per second through the balancer and as many
+    /// directly to an upstream.
     ///
     /// # Errors
     /// The balancer has ended.
-    pub async fn serve(
+    pub async fn measure_under_load(
         &self,
-        running: &Running,
-        discovery: &Discovery,
+        balancer: &BalancerProcess,
+        discovery: &DiscoveryStub,
         class: &str,
         rate: f64,
-        other: impl Future<Output = ()>,
-    ) -> io::Result<Served> {
-        let through = Way::new(running.address, class)?;
-        let direct = Way::new(self.upstreams.addresses[0], class)?;
-        let load = self.load(vec![through.clone(), direct.clone()], rate);
-        sleep(WARM_UP.min(self.span)).await;
-        through.reset();
-        direct.reset();
-        let spent = self.spend_beside(running, discovery, other).await?;
-        self.note_serving(&spent.scheduled);
-        let connections = self.upstreams.open().saturating_sub(direct.connections());
-        let descriptors = running.process.descriptors()?;
+        activity: impl Future<Output = ()>,
+    ) -> io::Result<LoadMeasurement> {
+        let balancer_target = LoadTarget::new(balancer.address, class)?;
+        let direct_target = LoadTarget::new(self.upstreams.addresses[0], class)?;
+        let load = self.start_load(vec![balancer_target.clone(), direct_target.clone()], rate);
+        sleep(CONNECTION_WARM_UP_TIME.min(self.span)).await;
+        balancer_target.reset();
+        direct_target.reset();
+        let usage = self.measure_usage_during(balancer, discovery, activity).await?;
+        self.record_serving_time(&usage.processor_time);
+        let upstream_connections =
+            self.upstreams.open_connections().saturating_sub(direct_target.idle_connection_count());
+        let descriptors = balancer.process.descriptors()?;
         drop(load);
-        Ok(Served { spent, through: through.latency(), direct: direct.latency(), connections, descriptors })
+        Ok(LoadMeasurement {
+            usage,
+            balancer_latency: balancer_target.latency(),
+            direct_latency: direct_target.latency(),
+            upstream_connections,
+            descriptors,
+        })
     }
 
-    /// Toggles one entry after another, so many a second and one at least, for the span of a measurement.
-    pub async fn change(&self, discovery: &Discovery, upstreams: usize, rate: f64) {
-        let mut pace = Pace::at_rate(rate, self.span);
-        while let Some(number) = pace.next().await {
-            // Each is toggled twice, or all would be leaving in the end.
+    /// Toggles one entry after the other for the measuring span, `rate` times a second and at least once.
+    pub async fn push_changes_at_rate(&self, discovery: &DiscoveryStub, upstreams: usize, rate: f64) {
+        let mut pacer = Pacer::at_rate(rate, self.span);
+        while let Some(number) = pacer.next_tick().await {
+            // Each entry is toggled twice in a row; otherwise all of them would end up leaving.
             let entry = number as usize / 2 % upstreams;
             discovery.push_changes(entry..entry + 1);
         }
     }
 
-    /// Whether a caller of discovery says within so long that it has the newest list.
-    pub async fn is_heard(&self, discovery: &Discovery, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        while discovery.heard() < discovery.version() && Instant::now() < until {
-            sleep(HEARD_STEP).await;
+    /// Waits until a caller has confirmed the current version of discovery's list, and returns whether that happened
+    /// within the timeout.
+    pub async fn wait_until_confirmed(&self, discovery: &DiscoveryStub, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while discovery.confirmed_version() < discovery.version() && Instant::now() < deadline {
+            sleep(CONFIRMATION_POLL_INTERVAL).await;
         }
-        discovery.heard() >= discovery.version()
+        discovery.confirmed_version() >= discovery.version()
     }
 }
--- a/crates/pondlb-lab/src/slopes/control/deployment.rs
+++ b/crates/pondlb-lab/src/slopes/control/deployment.rs
@@ -1,4 +1,4 @@
-//! An origin, a replica server behind it, and the followers of the replica server.
+//! A deployment of an origin, one replica server of that origin, and followers of the replica server.
 
 use std::io;
 use std::time::Duration;
@@ -12,36 +12,40 @@
 use crate::balancers::Program;
 use crate::scale::records::{RecordCounts, Records};
 use crate::scale::servers::{ControlServers, Layout};
-use crate::slopes::pace::Pace;
-use crate::slopes::probe::Process;
+use crate::slopes::pacer::Pacer;
+use crate::slopes::process_stats::Process;
 
+/// Seed of the choice of the record that a change sets.
 const SEED: u64 = 24;
-const POLL: Duration = Duration::from_millis(10);
-/// For the first snapshots of all followers of one step.
-const FIRST_STATE_WITHIN: Duration = Duration::from_secs(120);
-/// In each process of followers, so that they do not all wait for one another.
-const STARTS_AT_ONCE: u32 = 2;
+/// Time between two checks whether followers are up to date.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long added followers may take to receive their first snapshots.
+const FIRST_STATE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Followers in each process that fetch their first snapshot at the same time, a few only so that they do not all wait
+/// for one another.
+const MAX_CONCURRENT_STARTS_PER_PROCESS: u32 = 2;
 
-/// Both servers and all followers. They end with it.
+/// Both servers and all followers. Their processes end when it is dropped.
 pub struct Deployment {
     servers: ControlServers,
     origin: Process,
     replica: Process,
     records: Records,
+    /// Chooses the record of each change.
     random: WyRand,
-    /// Changes made so far; gives each its own value.
+    /// Number of changes so far, from which each change gets a value of its own.
     changes: u32,
-    /// The version of the last change.
+    /// The version of the last commit.
     committed: Version,
-    /// Of the replica server.
+    /// The followers of the replica server.
     pub followers: FollowerGroup,
 }
 
 impl Deployment {
-    /// Starts both servers with these records; there are no followers yet.
+    /// Starts both servers with these numbers of records. There are no followers yet.
     ///
     /// # Errors
-    /// A server can't be started, or ends by itself.
+    /// A server can't be started or exits on its own.
     pub async fn start(
         program: &Program,
         counts: RecordCounts,
@@ -51,7 +55,7 @@
         let layout = Layout { snapshot_pieces_per_second, ..Layout::local(1) };
         let servers = ControlServers::start(program, &layout, records.initial()).await?;
         let [origin, replica] = servers.processes()[..] else {
-            return Err(io::Error::other("a control server ended at once"));
+            return Err(io::Error::other("a control server ended immediately after its start"));
         };
         let replica_address = servers.by_region().concat().first().copied();
         let replica_address = replica_address.ok_or(io::ErrorKind::AddrNotAvailable)?;
@@ -68,35 +72,36 @@
         })
     }
 
-    /// Ends the followers, and has none again.
+    /// Ends all followers.
     ///
     /// # Errors
-    /// The machine has no folder to give.
+    /// No temporary directory can be created.
     pub fn end_followers(&mut self) -> io::Result<()> {
         self.followers = FollowerGroup::new(self.followers.server())?;
         Ok(())
     }
 
-    /// Adds followers until there are so many, and waits until all have the newest state.
+    /// Adds followers up to this number, and waits until all have the newest state.
     ///
     /// # Errors
-    /// They can't be started, or have no state in time.
-    pub async fn grow_followers(&mut self, count: usize) -> io::Result<()> {
+    /// The followers can't be started, or do not receive the state in time.
+    pub async fn grow_followers_to(&mut self, count: usize) -> io::Result<()> {
         let added = count.saturating_sub(self.followers.len());
-        self.followers.add(added, STARTS_AT_ONCE)?;
-        let reached = self.wait_until_reached(FIRST_STATE_WITHIN).await?;
+        self.followers.add(added, MAX_CONCURRENT_STARTS_PER_PROCESS)?;
+        let reached = self.wait_until_converged(FIRST_STATE_TIMEOUT).await?;
         if reached < count {
-            let told = format!("{reached} of {count} followers had a state within {FIRST_STATE_WITHIN:?}");
-            return Err(io::Error::other(told));
+            let message =
+                format!("{reached} of {count} followers had the newest state within {FIRST_STATE_TIMEOUT:?}");
+            return Err(io::Error::other(message));
         }
         Ok(())
     }
 
-    /// Changes one drawn record.
+    /// Commits a change of one randomly chosen record.
     ///
     /// # Errors
-    /// The origin refuses it.
-    pub async fn change(&mut self) -> io::Result<()> {
+    /// The origin rejects the change.
+    pub async fn commit_change(&mut self) -> io::Result<()> {
         self.changes += 1;
         let record = self.records.draw(&mut self.random);
         let change = self.records.set(record, self.changes);
@@ -104,57 +109,60 @@
         Ok(())
     }
 
-    /// Makes so many changes a second for a while, one at least.
+    /// Commits `per_second` changes a second for the span, at least one.
     ///
     /// # Errors
-    /// The origin refuses one.
-    pub async fn change_for(&mut self, span: Duration, per_second: usize) -> io::Result<()> {
-        let mut pace = Pace::at_rate(per_second as f64, span);
-        while pace.next().await.is_some() {
-            self.change().await?;
+    /// The origin rejects a change.
+    pub async fn commit_changes_for(&mut self, span: Duration, per_second: usize) -> io::Result<()> {
+        let mut pacer = Pacer::at_rate(per_second as f64, span);
+        while pacer.next_tick().await.is_some() {
+            self.commit_change().await?;
         }
-        pace.end().await;
+        pacer.wait_for_end().await;
         Ok(())
     }
 
-    /// How many followers have the last change in force; waits until all have it, but not for longer than that.
+    /// Waits until all followers have applied the last change or the timeout has passed, and returns how many have
+    /// applied it.
     ///
     /// # Errors
-    /// A process has ended, or a follower was handed changes in a wrong order.
-    pub async fn wait_until_reached(&mut self, within: Duration) -> io::Result<usize> {
-        let until = Instant::now() + within;
+    /// A process has ended, or a follower received changes in the wrong order.
+    pub async fn wait_until_converged(&mut self, timeout: Duration) -> io::Result<usize> {
+        let deadline = Instant::now() + timeout;
         loop {
-            self.check()?;
-            let reached = self.followers.with_revision(self.committed.revision);
-            if reached >= self.followers.len() || Instant::now() >= until {
+            self.check_running()?;
+            let reached = self.followers.count_at_revision(self.committed.revision);
+            if reached >= self.followers.len() || Instant::now() >= deadline {
                 return Ok(reached);
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// What the replica server has used so far.
+    /// Statistics of the replica server at present.
     ///
     /// # Errors
-    /// It has ended.
+    /// The server has ended.
     pub fn replica_sample(&self) -> io::Result<ServerSample> {
         ServerSample::take(self.replica)
     }
 
-    /// What the origin has used so far.
+    /// Statistics of the origin at present.
     ///
     /// # Errors
-    /// It has ended.
+    /// The server has ended.
     pub fn origin_sample(&self) -> io::Result<ServerSample> {
         ServerSample::take(self.origin)
     }
 
+    /// Checks that all processes run and that all changes have arrived in order.
+    ///
     /// # Errors
-    /// A process has ended, or a follower was handed changes in a wrong order.
-    pub fn check(&mut self) -> io::Result<()> {
+    /// A process has ended, or a follower received changes in the wrong order.
+    pub fn check_running(&mut self) -> io::Result<()> {
         if let Some(ended) = self.servers.ended().into_iter().next() {
             return Err(io::Error::other(ended));
         }
-        self.followers.check()
+        self.followers.check_running()
     }
 }
--- a/crates/pondlb-lab/src/slopes/control/follower_group.rs
+++ b/crates/pondlb-lab/src/slopes/control/follower_group.rs
@@ -1,4 +1,4 @@
-//! Followers of one server, in processes of hollow balancers: the real client driver without traffic.
+//! Followers of one server, run as hollow balancers: the real control client without request traffic.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,41 +8,46 @@
 
 use crate::scale::hollows::HollowProcesses;
 use crate::scale::message::{Assignment, FinalState, InForce, Order};
-use crate::slopes::probe::Process;
+use crate::slopes::process_stats::Process;
 
-/// Followers that are added together are spread over so many processes, which share the machine with the server.
-const PROCESSES: u32 = 4;
+/// Number of processes over which followers that are added together are spread. The processes share the machine with
+/// the server.
+const PROCESSES_PER_ADDITION: u32 = 4;
+/// The longest time for which the server may hold a call without changes, in milliseconds.
 const HOLD_MS: u64 = 1000;
+/// Seed of the followers' random numbers.
 const SEED: u64 = 1;
-const COUNTERS_WITHIN: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(10);
+/// How long followers may take to report their counters.
+const COUNTERS_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two checks of the reported counters.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the drivers of all followers have counted since their start.
+/// Counters of the control clients of all followers since their start, summed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FollowerCounters {
-    /// Calls, repeated ones included.
+    /// Calls, including repeated ones.
     pub calls: u64,
-    /// Calls without a usable answer, as those answered with 503.
+    /// Calls without a usable response, such as those answered with 503.
     pub failures: u64,
     /// Bytes from the server.
-    pub received: u64,
+    pub received_bytes: u64,
     /// Bytes to the server.
-    pub sent: u64,
+    pub sent_bytes: u64,
 }
 
 impl FollowerCounters {
-    /// What has come since then.
+    /// The difference to earlier counters.
     pub fn since(&self, earlier: &FollowerCounters) -> FollowerCounters {
         FollowerCounters {
             calls: self.calls.saturating_sub(earlier.calls),
             failures: self.failures.saturating_sub(earlier.failures),
-            received: self.received.saturating_sub(earlier.received),
-            sent: self.sent.saturating_sub(earlier.sent),
+            received_bytes: self.received_bytes.saturating_sub(earlier.received_bytes),
+            sent_bytes: self.sent_bytes.saturating_sub(earlier.sent_bytes),
         }
     }
 }
 
-/// Followers of one server. They end with it.
+/// Followers of one server. Their processes end when it is dropped.
 pub struct FollowerGroup {
     server: SocketAddr,
     processes: HollowProcesses,
@@ -50,35 +55,35 @@
 }
 
 impl FollowerGroup {
-    /// No follower yet.
+    /// A group without followers.
     ///
     /// # Errors
-    /// The machine has no folder to give.
+    /// No temporary directory can be created.
     pub fn new(server: SocketAddr) -> io::Result<FollowerGroup> {
         Ok(FollowerGroup { server, processes: HollowProcesses::none()?, count: 0 })
     }
 
-    /// The server that they follow.
+    /// The server that the group follows.
     pub fn server(&self) -> SocketAddr {
         self.server
     }
 
-    /// How many followers there are.
+    /// Number of followers.
     pub fn len(&self) -> usize {
         self.count as usize
     }
 
-    /// Adds followers, of which so many in each process take their first snapshot at the same time.
+    /// Adds followers. In each process, at most `starts_at_once` of them fetch their first snapshot at the same time.
     ///
     /// # Errors
     /// A process can't be started.
     pub fn add(&mut self, followers: usize, starts_at_once: u32) -> io::Result<()> {
-        let first = self.count;
-        let end = first + u32::try_from(followers).map_err(io::Error::other)?;
-        let processes = PROCESSES.min(end - first);
+        let first_number = self.count;
+        let end_number = first_number + u32::try_from(followers).map_err(io::Error::other)?;
+        let processes = PROCESSES_PER_ADDITION.min(end_number - first_number);
         for process in 0..processes {
             let assignment = Assignment {
-                balancers: (first + process..end).step_by(processes as usize).collect(),
+                balancers: (first_number + process..end_number).step_by(processes as usize).collect(),
                 servers: vec![vec![self.server]],
                 seed: SEED,
                 hold_ms: HOLD_MS,
@@ -86,21 +91,21 @@
             };
             self.processes.add(&assignment, &[])?;
         }
-        self.count = end;
+        self.count = end_number;
         Ok(())
     }
 
-    /// How many have this revision or a later one in force.
-    pub fn with_revision(&self, revision: u64) -> usize {
+    /// Number of followers that have applied this revision or a later one.
+    pub fn count_at_revision(&self, revision: u64) -> usize {
         self.processes.reported.borrow().with_revision(revision)
     }
 
-    /// How many have a first state in force.
-    pub fn started(&self) -> usize {
+    /// Number of followers that have applied their first state.
+    pub fn started_count(&self) -> usize {
         self.processes.reported.borrow().in_force.len()
     }
 
-    /// When the last of them had its first state in force, by the machine's clock in microseconds; none where none has.
+    /// When the last follower applied its first state, by the machine's clock in microseconds; none if no follower has.
     pub fn last_start_us(&self) -> Option<u64> {
         let reported = self.processes.reported.borrow();
         let first = |series: &Vec<InForce>| series.first().map(|first| first.at_us);
@@ -110,48 +115,50 @@
     /// Processor time of the followers' processes so far.
     ///
     /// # Errors
-    /// One has ended.
-    pub fn processor(&self) -> io::Result<Duration> {
-        self.processes.processes().into_iter().map(|id| Ok(Process(id).scheduled()?.ran)).sum()
+    /// A process has ended.
+    pub fn processor_time(&self) -> io::Result<Duration> {
+        self.processes.processes().into_iter().map(|id| Ok(Process(id).processor_time()?.on_cpu)).sum()
     }
 
-    /// Asks all followers for their counters as they are now. [`FollowerGroup::counters`] waits for the answers.
+    /// Asks all followers for their current counters. [`FollowerGroup::counters`] waits for the replies.
     ///
     /// # Errors
     /// A process has ended.
-    pub async fn ask_for_counters(&mut self) -> io::Result<()> {
+    pub async fn request_counters(&mut self) -> io::Result<()> {
         self.processes.reported.borrow_mut().finals.clear();
         self.processes.order(&Order::Tell).await
     }
 
-    /// The counters that were asked for last, summed.
+    /// Waits for the counters that were requested last, and returns their sum.
     ///
     /// # Errors
-    /// A process has ended, or gives no answer in time.
+    /// A process has ended, or followers do not report their counters in time.
     pub async fn counters(&mut self) -> io::Result<FollowerCounters> {
-        let until = Instant::now() + COUNTERS_WITHIN;
+        let deadline = Instant::now() + COUNTERS_TIMEOUT;
         while self.processes.reported.borrow().finals.len() < self.len() {
-            self.check()?;
-            if Instant::now() >= until {
+            self.check_running()?;
+            if Instant::now() >= deadline {
                 return Err(io::Error::other(format!(
-                    "followers told no counters within {COUNTERS_WITHIN:?}"
+                    "followers reported no counters within {COUNTERS_TIMEOUT:?}"
                 )));
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
         let reported = self.processes.reported.borrow();
         let add = |sum: FollowerCounters, state: &FinalState| FollowerCounters {
             calls: sum.calls + state.calls,
             failures: sum.failures + state.failures,
-            received: sum.received + state.received,
-            sent: sum.sent + state.sent,
+            received_bytes: sum.received_bytes + state.received,
+            sent_bytes: sum.sent_bytes + state.sent,
         };
         Ok(reported.finals.values().fold(FollowerCounters::default(), add))
     }
 
+    /// Checks that all processes run and that all changes have arrived in order.
+    ///
     /// # Errors
-    /// A process has ended, or a follower was handed changes in a wrong order.
-    pub fn check(&mut self) -> io::Result<()> {
+    /// A process has ended, or a follower received changes in the wrong order.
+    pub fn check_running(&mut self) -> io::Result<()> {
         if let Some(ended) = self.processes.ended().into_iter().next() {
             return Err(io::Error::other(ended));
         }
--- a/crates/pondlb-lab/src/slopes/control/followers.rs
+++ b/crates/pondlb-lab/src/slopes/control/followers.rs
@@ -1,4 +1,4 @@
-//! Against the number of followers.
+//! Usage of control servers, against the number of followers.
 
 use std::io;
 
@@ -9,19 +9,21 @@
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
-const FOLLOWERS: [usize; 5] = [25, 50, 100, 200, 400];
+/// Numbers of followers of the replica server.
+const FOLLOWER_COUNTS: [usize; 5] = [25, 50, 100, 200, 400];
+/// Rate of changes during each measurement.
 const CHANGES_PER_SECOND: usize = 2;
 
-/// All series along the number of followers, which are added to those of the size before.
+/// Measures all series along the number of followers. At each size, followers are added to those of the previous one.
 ///
 /// # Errors
-/// As of the dimension as a whole.
+/// See [`super::measure`].
 pub async fn measure(bench: &Bench, server: &Program) -> io::Result<Vec<Series>> {
     let records = scaled_records(bench, 1);
     let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES).await?;
     let mut measured = Vec::new();
-    for followers in FOLLOWERS.map(|followers| bench.scaled(followers)) {
-        deployment.grow_followers(followers).await?;
+    for followers in FOLLOWER_COUNTS.map(|followers| bench.scaled(followers)) {
+        deployment.grow_followers_to(followers).await?;
         bench.settle().await;
         measured.push((followers, phase::measure(bench, &mut deployment, CHANGES_PER_SECOND).await?));
     }
--- a/crates/pondlb-lab/src/slopes/control/mod.rs
+++ b/crates/pondlb-lab/src/slopes/control/mod.rs
@@ -1,5 +1,6 @@
-//! What a replica server and its origin need, against followers, records, changes a second and starts at once: an
-//! origin, one replica server behind it, and followers of the replica server in processes of their own.
+//! Measures what a replica server and its origin use, against the number of followers, records, changes per second and
+//! concurrent starts. An origin feeds one replica server, which is followed by hollow balancers in processes of their
+//! own.
 
 mod changes;
 mod deployment;
@@ -17,16 +18,16 @@
 use super::series::Series;
 use crate::scale::records::RecordCounts;
 
-/// Upstreams, classes and tenants of two years.
-const ALL_RECORDS: RecordCounts = RecordCounts { upstreams: 24_000, classes: 1100, tenants: 63_000 };
-/// Followers where nothing else is measured along.
-const FOLLOWERS: usize = 50;
+/// The number of records in the fleet size that is planned for in two years.
+const FULL_RECORD_COUNTS: RecordCounts = RecordCounts { upstreams: 24_000, classes: 1100, tenants: 63_000 };
+/// Number of followers where another dimension is varied.
+const DEFAULT_FOLLOWERS: usize = 50;
 
-/// All series of control servers.
+/// Measures all series of control servers.
 ///
 /// # Errors
-/// A server or a process of followers can't be started or ends by itself, the origin refuses a change, or followers
-/// have no first state in time.
+/// A server or a process of followers can't be started or exits on its own, the origin rejects a change, or followers
+/// do not receive their first state in time.
 pub async fn measure(bench: &Bench, options: &Options) -> io::Result<Vec<Series>> {
     let server = &options.control_server;
     let mut series = followers::measure(bench, server).await?;
@@ -36,12 +37,12 @@
     Ok(series)
 }
 
-/// All records over a divisor, as the asked share of it is played.
+/// The full number of records divided by `divisor` and scaled by the share of the run, for each kind of record.
 fn scaled_records(bench: &Bench, divisor: u32) -> RecordCounts {
     let scaled = |count: u32| u32::try_from(bench.scaled((count / divisor) as usize)).unwrap_or(u32::MAX);
     RecordCounts {
-        upstreams: scaled(ALL_RECORDS.upstreams),
-        classes: scaled(ALL_RECORDS.classes),
-        tenants: scaled(ALL_RECORDS.tenants),
+        upstreams: scaled(FULL_RECORD_COUNTS.upstreams),
+        classes: scaled(FULL_RECORD_COUNTS.classes),
+        tenants: scaled(FULL_RECORD_COUNTS.tenants),
     }
 }
--- a/crates/pondlb-lab/src/slopes/control/phase.rs
+++ b/crates/pondlb-lab/src/slopes/control/phase.rs
@@ -1,4 +1,4 @@
-//! Both servers and all followers over a span with a steady rate of changes.
+//! Measures both servers and all followers over a span with a steady rate of changes.
 
 use std::io;
 use std::time::Duration;
@@ -11,76 +11,94 @@
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
-/// Changes go on for so long before anything is counted.
-const LEAD_IN: Duration = Duration::from_secs(1);
-const REACHED_WITHIN: Duration = Duration::from_secs(10);
+/// How long changes are made before the measurement begins.
+const CHANGE_WARM_UP_TIME: Duration = Duration::from_secs(1);
+/// How long followers may take to apply the last change.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What was used in a span.
-pub struct Phase {
+/// What both servers and all followers used over a span.
+pub struct PhaseMeasurement {
+    /// Length of the span, in seconds.
     seconds: f64,
-    replica_ms: f64,
-    origin_ms: f64,
+    /// Processor time of the replica server, in milliseconds.
+    replica_processor_ms: f64,
+    /// Processor time of the origin, in milliseconds.
+    origin_processor_ms: f64,
+    /// The replica server at the end.
     replica: ServerSample,
+    /// The origin at the end.
     origin: ServerSample,
+    /// Calls and bytes of all followers.
     counters: FollowerCounters,
+    /// Number of followers.
     followers: usize,
-    /// How many have all changes in force in the end.
-    reached: usize,
+    /// Number of followers that have applied all changes.
+    followers_up_to_date: usize,
 }
 
-/// Makes so many changes a second for the span of a measurement, and then waits until all followers have them.
+/// Makes `per_second` changes a second for the measuring span, and then waits until all followers have applied them.
 ///
 /// # Errors
-/// A process has ended, or the origin refuses a change.
-pub async fn measure(bench: &Bench, deployment: &mut Deployment, per_second: usize) -> io::Result<Phase> {
-    deployment.change_for(LEAD_IN.min(bench.span), per_second).await?;
-    let (begun, replica_before, origin_before) =
+/// A process has ended, or the origin rejects a change.
+pub async fn measure(
+    bench: &Bench,
+    deployment: &mut Deployment,
+    per_second: usize,
+) -> io::Result<PhaseMeasurement> {
+    deployment.commit_changes_for(CHANGE_WARM_UP_TIME.min(bench.span), per_second).await?;
+    let (start, replica_before, origin_before) =
         (Instant::now(), deployment.replica_sample()?, deployment.origin_sample()?);
-    deployment.followers.ask_for_counters().await?;
-    deployment.change_for(bench.span, per_second).await?;
-    // Their answers have come while changes were made.
+    deployment.followers.request_counters().await?;
+    deployment.commit_changes_for(bench.span, per_second).await?;
+    // The followers have answered while the changes were made.
     let counters_before = deployment.followers.counters().await?;
-    let (ended, replica, origin) =
-        (Instant::now(), deployment.replica_sample()?, deployment.origin_sample()?);
-    deployment.followers.ask_for_counters().await?;
+    let (end, replica, origin) = (Instant::now(), deployment.replica_sample()?, deployment.origin_sample()?);
+    deployment.followers.request_counters().await?;
     let counters = deployment.followers.counters().await?.since(&counters_before);
-    let reached = deployment.wait_until_reached(REACHED_WITHIN).await?;
-    bench.note_serving(&replica.scheduled.since(&replica_before.scheduled));
-    Ok(Phase {
-        seconds: (ended - begun).as_secs_f64(),
-        replica_ms: replica.processor_ms_since(&replica_before),
-        origin_ms: origin.processor_ms_since(&origin_before),
+    let followers_up_to_date = deployment.wait_until_converged(CONVERGENCE_TIMEOUT).await?;
+    bench.record_serving_time(&replica.processor_time.since(&replica_before.processor_time));
+    Ok(PhaseMeasurement {
+        seconds: (end - start).as_secs_f64(),
+        replica_processor_ms: replica.processor_ms_since(&replica_before),
+        origin_processor_ms: origin.processor_ms_since(&origin_before),
         replica,
         origin,
         counters,
         followers: deployment.followers.len(),
-        reached,
+        followers_up_to_date,
     })
 }
 
-/// All quantities of phases along something; `what` tells the rest of the circumstances.
-pub fn all_series(along: &'static str, what: &str, measured: &[(usize, Phase)]) -> Vec<Series> {
-    let column = |quantity: &str, unit, value: fn(&Phase) -> f64| {
-        Series::column(format!("{quantity}, {what}"), unit, along, measured, |phase| Some(value(phase)))
+/// The series of all quantities along one dimension. `circumstances` ends the name of each quantity.
+pub fn all_series(
+    along: &'static str,
+    circumstances: &str,
+    measured: &[(usize, PhaseMeasurement)],
+) -> Vec<Series> {
+    let column = |quantity: &str, unit, value: fn(&PhaseMeasurement) -> f64| {
+        Series::from_measurements(format!("{quantity}, {circumstances}"), unit, along, measured, |phase| {
+            Some(value(phase))
+        })
     };
     vec![
-        column("processor time, replica server", "ms/s", |phase| phase.replica_ms / phase.seconds),
-        column("processor time, origin", "ms/s", |phase| phase.origin_ms / phase.seconds),
+        column("processor time, replica server", "ms/s", |phase| phase.replica_processor_ms / phase.seconds),
+        column("processor time, origin", "ms/s", |phase| phase.origin_processor_ms / phase.seconds),
         column("resident memory, replica server", "MB", |phase| phase.replica.resident_mb()),
         column("peak memory, replica server", "MB", |phase| phase.replica.peak_mb()),
         column("resident memory, origin", "MB", |phase| phase.origin.resident_mb()),
         column("descriptors, replica server", "descriptors", |phase| phase.replica.descriptors as f64),
         column("calls of all followers", "calls/s", |phase| phase.counters.calls as f64 / phase.seconds),
         column("bytes to all followers", "KB/s", |phase| {
-            phase.counters.received as f64 / 1000.0 / phase.seconds
+            phase.counters.received_bytes as f64 / 1000.0 / phase.seconds
         }),
         column("bytes from all followers", "KB/s", |phase| {
-            phase.counters.sent as f64 / 1000.0 / phase.seconds
+            phase.counters.sent_bytes as f64 / 1000.0 / phase.seconds
         }),
         column("bytes to each follower", "B/s", |phase| {
-            phase.counters.received as f64 / phase.seconds / phase.followers as f64
+            phase.counters.received_bytes as f64 / phase.seconds / phase.followers as f64
         }),
-        column("followers with all changes", "followers", |phase| phase.reached as f64).without_fit(),
+        column("followers with all changes", "followers", |phase| phase.followers_up_to_date as f64)
+            .without_fit(),
         column("calls that failed", "calls", |phase| phase.counters.failures as f64).without_fit(),
     ]
 }
--- a/crates/pondlb-lab/src/slopes/control/records.rs
+++ b/crates/pondlb-lab/src/slopes/control/records.rs
@@ -1,10 +1,10 @@
-//! Against the number of records: memory, and what a snapshot costs.
+//! Memory of control servers and the cost of a snapshot, against the number of records.
 
 use std::io;
 
 use super::deployment::Deployment;
 use super::server_sample::ServerSample;
-use super::{FOLLOWERS, scaled_records};
+use super::{DEFAULT_FOLLOWERS, scaled_records};
 use crate::balancers::Program;
 use crate::scale::clock;
 use crate::scale::records::RecordCounts;
@@ -12,83 +12,100 @@
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
-/// All records over each of these: some 5,500 to 88,100.
-const DIVISORS: [u32; 5] = [16, 8, 4, 2, 1];
+/// The full number of records is divided by each of these, which gives about 5,500 to 88,100 records.
+const RECORD_DIVISORS: [u32; 5] = [16, 8, 4, 2, 1];
+/// What the sizes of all series count.
 const ALONG: &str = "records";
 
-/// Everything at one number of records.
-struct At {
-    /// Before there were followers.
-    alone: ServerSample,
+/// The measurements at one number of records.
+struct RecordsMeasurement {
+    /// The replica server without followers.
+    replica_alone: ServerSample,
+    /// The origin without followers.
     origin: ServerSample,
-    /// With all followers.
-    followed: ServerSample,
+    /// The replica server with all followers.
+    replica_followed: ServerSample,
+    /// Processor time of the replica server for the snapshot of the first follower.
     first_snapshot_processor_ms: f64,
+    /// Elapsed time from the start of the first follower until it has its state.
     first_snapshot_ms: f64,
+    /// Kilobytes that the first follower received.
     snapshot_kb: f64,
+    /// Calls of the first follower.
     snapshot_calls: f64,
+    /// Processor time of the replica server for the snapshot of each further follower.
     next_snapshot_processor_ms: f64,
 }
 
-/// All series along the number of records.
+/// Measures all series along the number of records.
 ///
 /// # Errors
-/// As of the dimension as a whole.
+/// See [`super::measure`].
 pub async fn measure(bench: &Bench, server: &Program) -> io::Result<Vec<Series>> {
-    let followers = bench.scaled(FOLLOWERS).max(2);
+    let followers = bench.scaled(DEFAULT_FOLLOWERS).max(2);
     let mut measured = Vec::new();
-    for records in DIVISORS.map(|divisor| scaled_records(bench, divisor)) {
-        measured.push((records.sum(), at(server, records, followers).await?));
+    for records in RECORD_DIVISORS.map(|divisor| scaled_records(bench, divisor)) {
+        measured.push((records.sum(), measure_records(server, records, followers).await?));
     }
     Ok(all_series(followers, &measured))
 }
 
-/// Starts one follower by itself, and then the others. Nothing changes meanwhile.
-async fn at(server: &Program, records: RecordCounts, followers: usize) -> io::Result<At> {
+/// Measures one number of records: starts one follower alone and then the others. No record changes meanwhile.
+async fn measure_records(
+    server: &Program,
+    records: RecordCounts,
+    followers: usize,
+) -> io::Result<RecordsMeasurement> {
     let mut deployment = Deployment::start(server, records, UNBOUNDED_SNAPSHOT_PIECES).await?;
-    let (alone, origin) = (deployment.replica_sample()?, deployment.origin_sample()?);
-    let begun_us = clock::now_us();
-    deployment.grow_followers(1).await?;
-    let one = deployment.replica_sample()?;
-    let first_us = deployment.followers.last_start_us().unwrap_or(begun_us).saturating_sub(begun_us);
-    deployment.followers.ask_for_counters().await?;
+    let (replica_alone, origin) = (deployment.replica_sample()?, deployment.origin_sample()?);
+    let start_us = clock::now_us();
+    deployment.grow_followers_to(1).await?;
+    let with_one_follower = deployment.replica_sample()?;
+    let first_state_us = deployment.followers.last_start_us().unwrap_or(start_us).saturating_sub(start_us);
+    deployment.followers.request_counters().await?;
     let counters = deployment.followers.counters().await?;
     let before_next = deployment.replica_sample()?;
-    deployment.grow_followers(followers).await?;
-    let followed = deployment.replica_sample()?;
-    Ok(At {
-        alone,
+    deployment.grow_followers_to(followers).await?;
+    let replica_followed = deployment.replica_sample()?;
+    Ok(RecordsMeasurement {
+        replica_alone,
         origin,
-        followed,
-        first_snapshot_processor_ms: one.processor_ms_since(&alone),
-        first_snapshot_ms: first_us as f64 / 1000.0,
-        snapshot_kb: counters.received as f64 / 1000.0,
+        replica_followed,
+        first_snapshot_processor_ms: with_one_follower.processor_ms_since(&replica_alone),
+        first_snapshot_ms: first_state_us as f64 / 1000.0,
+        snapshot_kb: counters.received_bytes as f64 / 1000.0,
         snapshot_calls: counters.calls as f64,
-        next_snapshot_processor_ms: followed.processor_ms_since(&before_next) / (followers - 1) as f64,
+        next_snapshot_processor_ms: replica_followed.processor_ms_since(&before_next)
+            / (followers - 1) as f64,
     })
 }
 
-fn all_series(followers: usize, measured: &[(usize, At)]) -> Vec<Series> {
-    let column = |quantity: &str, unit, value: fn(&At) -> f64| {
-        Series::column(quantity, unit, ALONG, measured, |at| Some(value(at)))
+/// The series of all quantities.
+fn all_series(followers: usize, measured: &[(usize, RecordsMeasurement)]) -> Vec<Series> {
+    let column = |quantity: &str, unit, value: fn(&RecordsMeasurement) -> f64| {
+        Series::from_measurements(quantity, unit, ALONG, measured, |measurement| Some(value(measurement)))
     };
-    let followed = |quantity: &str, value: fn(&At) -> f64| {
+    let memory_with_followers = |quantity: &str, value: fn(&RecordsMeasurement) -> f64| {
         column(&format!("{quantity}, replica server, {followers} followers"), "MB", value)
     };
     vec![
-        column("resident memory, origin, no follower", "MB", |at| at.origin.resident_mb()),
-        column("peak memory, origin, no follower", "MB", |at| at.origin.peak_mb()),
-        column("resident memory, replica server, no follower", "MB", |at| at.alone.resident_mb()),
-        followed("resident memory", |at| at.followed.resident_mb()),
-        followed("peak memory", |at| at.followed.peak_mb()),
-        column("processor time of the first snapshot, replica server", "ms", |at| {
-            at.first_snapshot_processor_ms
+        column("resident memory, origin, no follower", "MB", |measurement| measurement.origin.resident_mb()),
+        column("peak memory, origin, no follower", "MB", |measurement| measurement.origin.peak_mb()),
+        column("resident memory, replica server, no follower", "MB", |measurement| {
+            measurement.replica_alone.resident_mb()
         }),
-        column("processor time of each next snapshot, replica server", "ms", |at| {
-            at.next_snapshot_processor_ms
+        memory_with_followers("resident memory", |measurement| measurement.replica_followed.resident_mb()),
+        memory_with_followers("peak memory", |measurement| measurement.replica_followed.peak_mb()),
+        column("processor time of the first snapshot, replica server", "ms", |measurement| {
+            measurement.first_snapshot_processor_ms
         }),
-        column("time until the first follower has its state", "ms", |at| at.first_snapshot_ms),
-        column("bytes of one snapshot", "KB", |at| at.snapshot_kb),
-        column("calls of one snapshot", "calls", |at| at.snapshot_calls),
+        column("processor time of each next snapshot, replica server", "ms", |measurement| {
+            measurement.next_snapshot_processor_ms
+        }),
+        column("time until the first follower has its state", "ms", |measurement| {
+            measurement.first_snapshot_ms
+        }),
+        column("bytes of one snapshot", "KB", |measurement| measurement.snapshot_kb),
+        column("calls of one snapshot", "calls", |measurement| measurement.snapshot_calls),
     ]
 }
--- a/crates/pondlb-lab/src/slopes/control/server_sample.rs
+++ b/crates/pondlb-lab/src/slopes/control/server_sample.rs
@@ -1,46 +1,46 @@
-//! What one server process has used, at a moment.
+//! Statistics of one server process at one time.
 
 use std::io;
 
-use crate::slopes::probe::{Memory, Process, Scheduled};
+use crate::slopes::process_stats::{MemoryUsage, Process, ProcessorTime};
 
-const MEGABYTE: f64 = 1e6;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// Processor time so far, memory and descriptors of a server.
+/// Processor time, memory and file descriptors of a server process.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSample {
-    /// Processor time since its start.
-    pub scheduled: Scheduled,
-    memory: Memory,
-    /// Open descriptors.
+    /// Processor time since the start of the server.
+    pub processor_time: ProcessorTime,
+    memory: MemoryUsage,
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
 impl ServerSample {
-    /// Reads them now.
+    /// Reads the current statistics.
     ///
     /// # Errors
     /// The server has ended.
     pub fn take(server: Process) -> io::Result<ServerSample> {
         Ok(ServerSample {
-            scheduled: server.scheduled()?,
+            processor_time: server.processor_time()?,
             memory: server.memory()?,
             descriptors: server.descriptors()?,
         })
     }
 
-    /// Milliseconds on a processor since an earlier sample.
+    /// Time spent running on a processor since an earlier sample, in milliseconds.
     pub fn processor_ms_since(&self, earlier: &ServerSample) -> f64 {
-        self.scheduled.since(&earlier.scheduled).ran_ms()
+        self.processor_time.since(&earlier.processor_time).on_cpu_ms()
     }
 
-    /// Memory that it holds.
+    /// Current resident memory, in megabytes.
     pub fn resident_mb(&self) -> f64 {
-        self.memory.resident as f64 / MEGABYTE
+        self.memory.resident_bytes as f64 / BYTES_PER_MEGABYTE
     }
 
-    /// The most that it has held.
+    /// Peak resident memory, in megabytes.
     pub fn peak_mb(&self) -> f64 {
-        self.memory.peak as f64 / MEGABYTE
+        self.memory.peak_bytes as f64 / BYTES_PER_MEGABYTE
     }
 }
--- a/crates/pondlb-lab/src/slopes/control/starts.rs
+++ b/crates/pondlb-lab/src/slopes/control/starts.rs
@@ -1,5 +1,5 @@
-//! Against the followers that start at the same time: what one replica server gives of first snapshots, with the limit
-//! that a server has where its options say nothing, and without one.
+//! Cost and duration of the first snapshots of a replica server, against the number of followers that start at the same
+//! time, with the default limit on snapshots and without a limit.
 
 use std::io;
 use std::time::Duration;
@@ -15,110 +15,157 @@
 use crate::slopes::bench::Bench;
 use crate::slopes::series::Series;
 
-const AT_ONCE: [usize; 5] = [8, 32, 64, 128, 256];
-/// As a control server has it where its options say nothing.
-const DEFAULT_SNAPSHOT_PIECES: f64 = 1000.0;
-const LIMITS: [(f64, &str); 2] =
-    [(DEFAULT_SNAPSHOT_PIECES, "1000 pieces a second"), (UNBOUNDED_SNAPSHOT_PIECES, "no limit")];
-/// Each change makes the server write anew what all callers had shared.
-const BETWEEN_CHANGES: Duration = Duration::from_millis(500);
-const STARTED_WITHIN: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(5);
+/// Followers that start at the same time.
+const CONCURRENT_STARTS: [usize; 5] = [8, 32, 64, 128, 256];
+/// The limit of a control server whose options set none.
+const DEFAULT_SNAPSHOT_PIECES_PER_SECOND: f64 = 1000.0;
+/// The limits under which starts are measured.
+const SNAPSHOT_LIMITS: [SnapshotLimit; 2] = [
+    SnapshotLimit { pieces_per_second: DEFAULT_SNAPSHOT_PIECES_PER_SECOND, name: "1000 pieces a second" },
+    SnapshotLimit { pieces_per_second: UNBOUNDED_SNAPSHOT_PIECES, name: "no limit" },
+];
+/// Time between two changes. Each change makes the server rebuild the responses that its callers share.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the followers may take to receive their first state.
+const START_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time between two checks of the started followers.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// What the sizes of all series count.
 const ALONG: &str = "followers that start at once";
 
-/// Starts at one number of followers.
-struct At {
-    asked: usize,
+/// A limit on the snapshot pieces that a server sends.
+struct SnapshotLimit {
+    pieces_per_second: f64,
+    /// The name in the report.
+    name: &'static str,
+}
+
+/// The measurements at one number of followers.
+struct StartsMeasurement {
+    /// Number of followers to start.
+    followers: usize,
+    /// Number of followers that had their first state in time.
     started: usize,
-    /// Until the last had its first state in force; none where not all had it in time.
+    /// Time until the last follower had its first state, in seconds; none if not all had it in time.
     seconds: Option<f64>,
-    server_ms: f64,
-    followers_ms: f64,
+    /// Processor time of the replica server.
+    server_processor_ms: f64,
+    /// Processor time of all followers' processes.
+    followers_processor_ms: f64,
+    /// Calls and bytes of all followers.
     counters: FollowerCounters,
 }
 
-/// All series along the followers that start at once.
+/// Measures all series along the number of followers that start at the same time.
 ///
 /// # Errors
-/// As of the dimension as a whole.
+/// See [`super::measure`].
 pub async fn measure(bench: &Bench, server: &Program) -> io::Result<Vec<Series>> {
     let mut series = Vec::new();
-    for (limit, what) in LIMITS {
-        let mut deployment = Deployment::start(server, scaled_records(bench, 1), limit).await?;
+    for limit in SNAPSHOT_LIMITS {
+        let mut deployment =
+            Deployment::start(server, scaled_records(bench, 1), limit.pieces_per_second).await?;
         let mut measured = Vec::new();
-        for followers in AT_ONCE.map(|followers| bench.scaled(followers)) {
-            measured.push((followers, at(bench, &mut deployment, followers).await?));
+        for followers in CONCURRENT_STARTS.map(|followers| bench.scaled(followers)) {
+            measured.push((followers, measure_starts(bench, &mut deployment, followers).await?));
             deployment.end_followers()?;
-            // The limit is full again after a second.
+            // The server's allowance of snapshot pieces is full again after a second.
             bench.settle().await;
         }
-        series.extend(all_series(what, &measured));
+        series.extend(all_series(limit.name, &measured));
     }
     Ok(series)
 }
 
-async fn at(bench: &Bench, deployment: &mut Deployment, followers: usize) -> io::Result<At> {
+/// Starts this many followers at the same time and measures their starts.
+async fn measure_starts(
+    bench: &Bench,
+    deployment: &mut Deployment,
+    followers: usize,
+) -> io::Result<StartsMeasurement> {
     let before = deployment.replica_sample()?;
-    let begun_us = clock::now_us();
+    let start_us = clock::now_us();
     let starts_at_once = u32::try_from(followers).unwrap_or(u32::MAX);
     deployment.followers.add(followers, starts_at_once)?;
     wait_until_started(deployment).await?;
     let after = deployment.replica_sample()?;
-    let started = deployment.followers.started();
+    let started = deployment.followers.started_count();
     let last_us = deployment.followers.last_start_us().filter(|_| started == followers);
-    let followers_ms = deployment.followers.processor()?.as_secs_f64() * 1000.0;
-    deployment.followers.ask_for_counters().await?;
+    let followers_ms = deployment.followers.processor_time()?.as_secs_f64() * 1000.0;
+    deployment.followers.request_counters().await?;
     let counters = deployment.followers.counters().await?;
-    bench.note_serving(&after.scheduled.since(&before.scheduled));
-    Ok(At {
-        asked: followers,
+    bench.record_serving_time(&after.processor_time.since(&before.processor_time));
+    Ok(StartsMeasurement {
+        followers,
         started,
-        seconds: last_us.map(|last_us| last_us.saturating_sub(begun_us) as f64 / 1e6),
-        server_ms: after.processor_ms_since(&before),
-        followers_ms,
+        seconds: last_us.map(|last_us| last_us.saturating_sub(start_us) as f64 / 1e6),
+        server_processor_ms: after.processor_ms_since(&before),
+        followers_processor_ms: followers_ms,
         counters,
     })
 }
 
-/// Makes changes until all followers have a first state, but not for longer than [`STARTED_WITHIN`].
+/// Makes changes until all followers have their first state or [`START_TIMEOUT`] has passed.
 async fn wait_until_started(deployment: &mut Deployment) -> io::Result<()> {
-    let begun = Instant::now();
-    let mut next_change = begun + BETWEEN_CHANGES;
-    while deployment.followers.started() < deployment.followers.len() && begun.elapsed() < STARTED_WITHIN {
-        deployment.check()?;
+    let start = Instant::now();
+    let mut next_change = start + CHANGE_INTERVAL;
+    while deployment.followers.started_count() < deployment.followers.len() && start.elapsed() < START_TIMEOUT
+    {
+        deployment.check_running()?;
         if Instant::now() >= next_change {
-            deployment.change().await?;
-            next_change += BETWEEN_CHANGES;
+            deployment.commit_change().await?;
+            next_change += CHANGE_INTERVAL;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-impl At {
-    fn for_each_start(&self, value: f64) -> Option<f64> {
+impl StartsMeasurement {
+    /// A total divided by the number of started followers; none if no follower has started.
+    fn per_start(&self, value: f64) -> Option<f64> {
         (self.started > 0).then(|| value / self.started as f64)
     }
 
-    fn seen(&self) -> String {
-        let At { started, asked, counters, .. } = self;
+    /// The note beside each value: started followers and failed calls.
+    fn start_note(&self) -> String {
+        let StartsMeasurement { started, followers: asked, counters, .. } = self;
         format!("{started} of {asked} started; {} of {} calls failed", counters.failures, counters.calls)
     }
 }
 
-fn all_series(limit: &str, measured: &[(usize, At)]) -> Vec<Series> {
-    let column = |quantity: &str, unit, value: fn(&At) -> Option<f64>| {
-        Series::noted(format!("{quantity}, {limit}"), unit, ALONG, measured, value, |at| Some(at.seen()))
+/// The series of all quantities under one limit.
+fn all_series(limit_name: &str, measured: &[(usize, StartsMeasurement)]) -> Vec<Series> {
+    let column = |quantity: &str, unit, value: fn(&StartsMeasurement) -> Option<f64>| {
+        Series::from_measurements_with_notes(
+            format!("{quantity}, {limit_name}"),
+            unit,
+            ALONG,
+            measured,
+            value,
+            |measurement| Some(measurement.start_note()),
+        )
     };
     vec![
-        column("time until all have their state", "s", |at| at.seconds),
-        column("starts a second", "starts/s", |at| Some(at.started as f64 / at.seconds?)).without_fit(),
-        column("processor time of a start, replica server", "ms", |at| at.for_each_start(at.server_ms))
-            .without_fit(),
-        column("processor time of a start, follower", "ms", |at| at.for_each_start(at.followers_ms))
-            .without_fit(),
-        column("bytes of a start", "KB", |at| at.for_each_start(at.counters.received as f64 / 1000.0)),
-        column("calls of a start that failed", "calls", |at| at.for_each_start(at.counters.failures as f64))
-            .without_fit(),
+        column("time until all have their state", "s", |measurement| measurement.seconds),
+        column("starts a second", "starts/s", |measurement| {
+            Some(measurement.started as f64 / measurement.seconds?)
+        })
+        .without_fit(),
+        column("processor time of a start, replica server", "ms", |measurement| {
+            measurement.per_start(measurement.server_processor_ms)
+        })
+        .without_fit(),
+        column("processor time of a start, follower", "ms", |measurement| {
+            measurement.per_start(measurement.followers_processor_ms)
+        })
+        .without_fit(),
+        column("bytes of a start", "KB", |measurement| {
+            measurement.per_start(measurement.counters.received_bytes as f64 / 1000.0)
+        }),
+        column("calls of a start that failed", "calls", |measurement| {
+            measurement.per_start(measurement.counters.failures as f64)
+        })
+        .without_fit(),
     ]
 }
--- a/crates/pondlb-lab/src/slopes/distribution/mod.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! Two balancers side by side under the same traffic and the same changes, against the length of the list: one has its
-//! list from discovery by its watch, the other follows a control server.
+//! Compares two balancers under the same load and the same changes, against the number of upstreams: `before` watches
+//! discovery, `after` follows a control server.
 
 mod pair;
 mod phase;
@@ -8,52 +8,61 @@
 use std::io;
 
 use super::Options;
+use super::balancer_process::BalancerProcess;
 use super::bench::Bench;
-use super::running::Running;
 use super::series::Series;
-use pair::{Changes, Pair};
+use pair::{BalancerPair, Changes};
 use phase::Phase;
 
-const SIZES: [usize; 5] = [200, 1000, 4000, 8000, 24_000];
-const RATES: [usize; 2] = [5, 20];
-/// The mean of a balancer at the peak: 170,000 by 1,500.
+/// Numbers of upstreams in the list.
+const LIST_LENGTHS: [usize; 5] = [200, 1000, 4000, 8000, 24_000];
+/// Changes of single upstreams per second.
+const CHANGE_RATES: [usize; 2] = [5, 20];
+/// Mean request rate of one of 1,500 balancers at a peak of 170,000 requests per second.
 const REQUESTS_PER_SECOND: f64 = 113.0;
 
-/// Everything at one length of the list.
-struct At {
+/// The measurements at one number of upstreams.
+struct SizeMeasurement {
+    /// Resident memory at the end, in megabytes.
     before_memory_mb: f64,
+    /// Resident memory at the end, in megabytes.
     after_memory_mb: f64,
+    /// Without changes.
     quiet: Phase,
-    /// At each of `RATES`.
-    single: Vec<Phase>,
-    zone: Phase,
+    /// With changes of single upstreams, at each of `CHANGE_RATES`.
+    single_changes: Vec<Phase>,
+    /// With all upstreams of a zone changed in one message.
+    zone_changes: Phase,
 }
 
-/// All series along the number of upstreams.
+/// Measures all series along the number of upstreams.
 ///
 /// # Errors
-/// A program can't be started, or ends by itself, or the origin refuses a change.
+/// A program can't be started or exits on its own, or the origin rejects a change.
 pub async fn measure(bench: &Bench, options: &Options) -> io::Result<Vec<Series>> {
     let mut measured = Vec::new();
-    for size in SIZES.map(|size| bench.scaled(size)) {
-        measured.push((size, at(bench, options, size).await?));
+    for size in LIST_LENGTHS.map(|size| bench.scaled(size)) {
+        measured.push((size, measure_size(bench, options, size).await?));
     }
     Ok(report::all_series(&measured))
 }
 
-async fn at(bench: &Bench, options: &Options, upstreams: usize) -> io::Result<At> {
-    let mut pair = Pair::start(bench, options, upstreams).await?;
-    let _load = bench.load(pair.ways(), REQUESTS_PER_SECOND);
-    bench.grow().await;
-    let quiet = pair.phase(bench, Changes::None).await?;
-    let mut single = Vec::new();
-    for rate in RATES {
-        single.push(pair.phase(bench, Changes::Single { rate }).await?);
+/// Measures both balancers with this many upstreams in all phases.
+async fn measure_size(bench: &Bench, options: &Options, upstreams: usize) -> io::Result<SizeMeasurement> {
+    let mut pair = BalancerPair::start(bench, options, upstreams).await?;
+    let _load = bench.start_load(pair.load_targets(), REQUESTS_PER_SECOND);
+    bench.wait_for_subset_growth().await;
+    let quiet = pair.measure_phase(bench, Changes::None).await?;
+    let mut single_changes = Vec::new();
+    for rate in CHANGE_RATES {
+        single_changes.push(pair.measure_phase(bench, Changes::Single { rate }).await?);
     }
-    let zone = pair.phase(bench, Changes::Zone).await?;
-    let resident = |running: &Running| Ok::<_, io::Error>(running.process.memory()?.resident as f64 / 1e6);
-    let (before_memory_mb, after_memory_mb) = (resident(&pair.before)?, resident(&pair.after)?);
-    pair.before.end().await?;
-    pair.after.end().await?;
-    Ok(At { before_memory_mb, after_memory_mb, quiet, single, zone })
+    let zone_changes = pair.measure_phase(bench, Changes::Zone).await?;
+    let resident_mb = |balancer: &BalancerProcess| {
+        Ok::<_, io::Error>(balancer.process.memory()?.resident_bytes as f64 / 1e6)
+    };
+    let (before_memory_mb, after_memory_mb) = (resident_mb(&pair.before)?, resident_mb(&pair.after)?);
+    pair.before.stop().await?;
+    pair.after.stop().await?;
+    Ok(SizeMeasurement { before_memory_mb, after_memory_mb, quiet, single_changes, zone_changes })
 }
--- a/crates/pondlb-lab/src/slopes/distribution/pair.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/pair.rs
@@ -1,4 +1,4 @@
-//! The two balancers, what they have their lists from, and the changes made to both.
+//! Runs the two compared balancers with discovery and a control server, and makes the same changes to both.
 
 use std::io;
 use std::rc::Rc;
@@ -8,86 +8,98 @@
 use serde_json::value::{RawValue, to_raw_value};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::phase::{Phase, Side};
+use super::phase::{BalancerMeasurement, Phase};
 use crate::scale::servers::{ControlServers, Layout};
 use crate::scale::tap::{Heard, Tap};
 use crate::scale::timeline::COMMIT_RECORDS;
 use crate::slopes::Options;
+use crate::slopes::balancer_process::BalancerProcess;
 use crate::slopes::bench::Bench;
-use crate::slopes::configuration::{First, Size, class, class_name, configuration, following};
-use crate::slopes::listing::Listing;
-use crate::slopes::load::Way;
-use crate::slopes::pace::Pace;
-use crate::slopes::probe::{Process, Scheduled};
-use crate::slopes::running::Running;
-use crate::slopes::stand_in::Discovery;
-
-/// A zone leaves, and comes back after half of the span.
-const ZONE_MESSAGES: u32 = 2;
-const ZONE: usize = 0;
-/// Entries that single changes have toggled and not yet toggled back.
-const MOST_TOGGLED: usize = 10;
-const HEARD_WITHIN: Duration = Duration::from_secs(5);
-const HEARD_STEP: Duration = Duration::from_millis(5);
-
-/// What changes in a phase.
+use crate::slopes::configuration::{
+    ConfigurationSize, InitialList, balancer_configuration, class_name, class_settings,
+    follower_configuration,
+};
+use crate::slopes::load_generator::LoadTarget;
+use crate::slopes::pacer::Pacer;
+use crate::slopes::process_stats::{Process, ProcessorTime};
+use crate::slopes::stubs::DiscoveryStub;
+use crate::slopes::upstream_list::UpstreamList;
+
+/// Messages in a phase with changes of a whole zone: the zone leaves at the start and returns at half of the span.
+const MESSAGES_PER_ZONE_PHASE: u32 = 2;
+/// The zone whose upstreams are changed together.
+const CHANGED_ZONE: usize = 0;
+/// The greatest number of entries that single changes have toggled and not yet toggled back.
+const MAX_TOGGLED_ENTRIES: usize = 10;
+/// How long the balancers may take to confirm the last change.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between two checks for that confirmation.
+const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The changes made in a phase.
 #[derive(Clone, Copy)]
 pub enum Changes {
-    /// Nothing.
+    /// No changes.
     None,
-    /// One entry after another, so many a second.
+    /// Single entries, one after the other.
     Single {
-        /// How many.
+        /// Changes per second.
         rate: usize,
     },
-    /// All entries of a zone at once, there and back.
+    /// All entries of a zone at once, to leaving and back.
     Zone,
 }
 
-/// Both balancers, and what they have their lists from.
-pub struct Pair {
+/// Both balancers, with the discovery stub and the control server that supply their lists.
+pub struct BalancerPair {
+    /// Number of upstreams in the list.
     upstreams: usize,
-    discovery: Discovery,
+    discovery: DiscoveryStub,
     servers: ControlServers,
     origin: Process,
+    /// The version of the last commit to the origin.
     committed: Version,
+    /// What passed through the tap between the origin and the balancer that follows it.
     heard: Rc<Heard>,
     _tap: Tap,
-    /// The balancer that is told by discovery.
-    pub before: Running,
+    /// The balancer that watches discovery.
+    pub before: BalancerProcess,
     /// The balancer that follows the origin.
-    pub after: Running,
-    before_way: Rc<Way>,
-    after_way: Rc<Way>,
-    direct_way: Rc<Way>,
+    pub after: BalancerProcess,
+    before_target: Rc<LoadTarget>,
+    after_target: Rc<LoadTarget>,
+    direct_target: Rc<LoadTarget>,
 }
 
-impl Pair {
-    /// Starts both, each with the whole list.
+impl BalancerPair {
+    /// Starts both balancers, each with the full list.
     ///
     /// # Errors
-    /// A program can't be started, ends by itself or is not ready in time.
-    pub async fn start(bench: &Bench, options: &Options, upstreams: usize) -> io::Result<Pair> {
-        let discovery = bench.discovery(upstreams).await?;
-        let mut initial = records(&discovery, 0..upstreams)?;
-        initial.push(record(RecordKind::Class, &class_name(0), to_raw_value(&class(0))?)?);
+    /// A program can't be started, exits on its own or is not ready in time.
+    pub async fn start(bench: &Bench, options: &Options, upstreams: usize) -> io::Result<BalancerPair> {
+        let discovery = bench.start_discovery(upstreams).await?;
+        let mut initial = upstream_records(&discovery, 0..upstreams)?;
+        initial.push(record_change(RecordKind::Class, &class_name(0), to_raw_value(&class_settings(0))?)?);
         let layout = Layout::local(0);
         let servers = ControlServers::start(&options.control_server, &layout, initial).await?;
         let origin = servers.processes().first().copied().map(Process);
-        let origin = origin.ok_or_else(|| io::Error::other("the origin ended at once"))?;
+        let origin =
+            origin.ok_or_else(|| io::Error::other("the origin ended immediately after its start"))?;
         let committed = servers.state(0).await?.version;
         let heard = Rc::new(Heard::default());
         let tap = Tap::start(layout.listen, servers.origin(), heard.clone()).await?;
-        let size = Size::of_upstreams(upstreams);
-        let known = |number, listen| configuration(number, listen, &discovery, size, First::Known);
-        let before = ready(bench.start_program(&options.before, known).await?)?;
-        let follow = |number, listen| following(number, listen, tap.address, size);
-        let after = ready(bench.start_program(&options.program, follow).await?)?;
+        let size = ConfigurationSize::of_upstreams(upstreams);
+        let known = |number, listen| {
+            balancer_configuration(number, listen, &discovery, size, InitialList::InConfiguration)
+        };
+        let before = require_ready(bench.start_program(&options.before, known).await?)?;
+        let follow = |number, listen| follower_configuration(number, listen, tap.address, size);
+        let after = require_ready(bench.start_program(&options.program, follow).await?)?;
         let class = class_name(0);
-        let before_way = Way::new(before.address, &class)?;
-        let after_way = Way::new(after.address, &class)?;
-        let direct_way = Way::new(bench.upstreams.addresses[0], &class)?;
-        Ok(Pair {
+        let before_target = LoadTarget::new(before.address, &class)?;
+        let after_target = LoadTarget::new(after.address, &class)?;
+        let direct_target = LoadTarget::new(bench.upstreams.addresses[0], &class)?;
+        Ok(BalancerPair {
             upstreams,
             discovery,
             servers,
@@ -97,155 +109,164 @@
             _tap: tap,
             before,
             after,
-            before_way,
-            after_way,
-            direct_way,
+            before_target,
+            after_target,
+            direct_target,
         })
     }
 
-    /// Through both balancers, and straight to an upstream.
-    pub fn ways(&self) -> Vec<Rc<Way>> {
-        vec![self.before_way.clone(), self.after_way.clone(), self.direct_way.clone()]
+    /// The load targets: both balancers, and an upstream directly.
+    pub fn load_targets(&self) -> Vec<Rc<LoadTarget>> {
+        vec![self.before_target.clone(), self.after_target.clone(), self.direct_target.clone()]
     }
 
-    /// Measures from the first change until both have all of them, and for the span at least.
+    /// Measures both balancers from the first change until both have confirmed all changes, and at least for the
+    /// measuring span.
     ///
     /// # Errors
-    /// A program has ended, or the origin refuses a change.
-    pub async fn phase(&mut self, bench: &Bench, changes: Changes) -> io::Result<Phase> {
-        for way in self.ways() {
-            way.reset();
+    /// A program has ended, or the origin rejects a change.
+    pub async fn measure_phase(&mut self, bench: &Bench, changes: Changes) -> io::Result<Phase> {
+        for target in self.load_targets() {
+            target.reset();
         }
-        let (begun, start) = (Instant::now(), self.used()?);
-        let made = self.change(bench, changes).await?;
-        sleep_until(begun + bench.span).await;
-        let (before_heard, after_heard) = self.wait_until_heard().await;
-        let end = self.used()?;
-        let (before, after) = (end.before.since(&start.before), end.after.since(&start.after));
-        bench.note_serving(&before);
-        bench.note_serving(&after);
+        let (phase_start, start_usage) = (Instant::now(), self.sample_usage()?);
+        let changes_made = self.make_changes(bench, changes).await?;
+        sleep_until(phase_start + bench.span).await;
+        let (before_confirmed, after_confirmed) = self.wait_until_confirmed().await;
+        let end_usage = self.sample_usage()?;
+        let (before, after) =
+            (end_usage.before.since(&start_usage.before), end_usage.after.since(&start_usage.after));
+        bench.record_serving_time(&before);
+        bench.record_serving_time(&after);
         Ok(Phase {
-            seconds: begun.elapsed().as_secs_f64(),
-            changes: f64::from(made),
-            before: Side {
-                processor_ms: before.ran_ms(),
-                bytes: (end.before_bytes - start.before_bytes) as f64,
-                scheduled: before,
-                through: self.before_way.latency(),
-                is_up_to_date: before_heard,
+            seconds: phase_start.elapsed().as_secs_f64(),
+            changes: f64::from(changes_made),
+            before: BalancerMeasurement {
+                processor_ms: before.on_cpu_ms(),
+                bytes: (end_usage.before_bytes - start_usage.before_bytes) as f64,
+                processor_time: before,
+                latency: self.before_target.latency(),
+                has_all_changes: before_confirmed,
             },
-            after: Side {
-                processor_ms: after.ran_ms(),
-                bytes: (end.after_bytes - start.after_bytes) as f64,
-                scheduled: after,
-                through: self.after_way.latency(),
-                is_up_to_date: after_heard,
+            after: BalancerMeasurement {
+                processor_ms: after.on_cpu_ms(),
+                bytes: (end_usage.after_bytes - start_usage.after_bytes) as f64,
+                processor_time: after,
+                latency: self.after_target.latency(),
+                has_all_changes: after_confirmed,
             },
-            origin_ms: end.origin.since(&start.origin).ran_ms(),
-            direct: self.direct_way.latency(),
+            origin_processor_ms: end_usage.origin.since(&start_usage.origin).on_cpu_ms(),
+            direct_latency: self.direct_target.latency(),
         })
     }
 
-    fn used(&self) -> io::Result<Used> {
+    /// Reads what both balancers and the origin have used so far.
+    fn sample_usage(&self) -> io::Result<UsageSample> {
         let traffic = self.discovery.traffic();
-        Ok(Used {
-            before: self.before.process.scheduled()?,
-            after: self.after.process.scheduled()?,
-            origin: self.origin.scheduled()?,
-            before_bytes: traffic.sent + traffic.received,
+        Ok(UsageSample {
+            before: self.before.process.processor_time()?,
+            after: self.after.process.processor_time()?,
+            origin: self.origin.processor_time()?,
+            before_bytes: traffic.sent_bytes + traffic.received_bytes,
             after_bytes: self.heard.sent.get() + self.heard.received.get(),
         })
     }
 
-    /// Makes the changes of a phase, and tells how many.
-    async fn change(&mut self, bench: &Bench, changes: Changes) -> io::Result<u32> {
+    /// Makes the changes of a phase and returns their number.
+    async fn make_changes(&mut self, bench: &Bench, changes: Changes) -> io::Result<u32> {
         match changes {
             Changes::None => Ok(0),
-            Changes::Single { rate } => self.change_single(bench.span, rate as f64).await,
-            Changes::Zone => self.change_zone(bench.span).await,
+            Changes::Single { rate } => self.toggle_single_entries(bench.span, rate as f64).await,
+            Changes::Zone => self.toggle_zone(bench.span).await,
         }
     }
 
-    async fn change_single(&mut self, span: Duration, rate: f64) -> io::Result<u32> {
-        let mut pace = Pace::at_rate(rate, span);
-        while let Some(number) = pace.next().await {
-            self.toggle(&[toggled_by(number as usize, self.upstreams)]).await?;
+    /// Toggles single entries at a rate for the span, and returns the number of changes.
+    async fn toggle_single_entries(&mut self, span: Duration, rate: f64) -> io::Result<u32> {
+        let mut pacer = Pacer::at_rate(rate, span);
+        while let Some(number) = pacer.next_tick().await {
+            self.toggle_entries(&[entry_to_toggle(number as usize, self.upstreams)]).await?;
         }
-        Ok(pace.len())
+        Ok(pacer.tick_count())
     }
 
-    async fn change_zone(&mut self, span: Duration) -> io::Result<u32> {
-        let members = self.discovery.zone_members(ZONE);
-        let mut pace = Pace::spread(ZONE_MESSAGES, span);
-        while pace.next().await.is_some() {
-            self.toggle(&members).await?;
+    /// Toggles all entries of the changed zone at the start and at half of the span, and returns the number of
+    /// messages.
+    async fn toggle_zone(&mut self, span: Duration) -> io::Result<u32> {
+        let members = self.discovery.zone_members(CHANGED_ZONE);
+        let mut pacer = Pacer::with_count(MESSAGES_PER_ZONE_PHASE, span);
+        while pacer.next_tick().await.is_some() {
+            self.toggle_entries(&members).await?;
         }
-        Ok(ZONE_MESSAGES)
+        Ok(MESSAGES_PER_ZONE_PHASE)
     }
 
-    /// Pushes the entries and commits the records of the same values.
-    async fn toggle(&mut self, entries: &[usize]) -> io::Result<()> {
+    /// Toggles entries in discovery's list, which sends them, and commits records with the same values to the origin.
+    async fn toggle_entries(&mut self, entries: &[usize]) -> io::Result<()> {
         self.discovery.push_changes(entries.iter().copied());
-        let records = records(&self.discovery, entries.iter().copied())?;
+        let records = upstream_records(&self.discovery, entries.iter().copied())?;
         for commit in records.chunks(COMMIT_RECORDS) {
             self.committed = self.servers.commit(commit.to_vec()).await?;
         }
         Ok(())
     }
 
-    /// Whether each of them says in time that it has all changes.
-    async fn wait_until_heard(&self) -> (bool, bool) {
-        let until = Instant::now() + HEARD_WITHIN;
+    /// Waits until both balancers have confirmed all changes, and returns for `before` and `after` whether they have
+    /// done so within the timeout.
+    async fn wait_until_confirmed(&self) -> (bool, bool) {
+        let deadline = Instant::now() + CONFIRMATION_TIMEOUT;
         loop {
-            let before = self.discovery.heard() >= self.discovery.version();
+            let before = self.discovery.confirmed_version() >= self.discovery.version();
             let after = self.heard.latest.get().is_some_and(|version| version >= self.committed);
-            if (before && after) || Instant::now() >= until {
+            if (before && after) || Instant::now() >= deadline {
                 return (before, after);
             }
-            sleep(HEARD_STEP).await;
+            sleep(CONFIRMATION_POLL_INTERVAL).await;
         }
     }
 }
 
-/// What both balancers and the origin have used so far.
-struct Used {
-    before: Scheduled,
-    after: Scheduled,
-    origin: Scheduled,
+/// What both balancers and the origin have used since their start.
+struct UsageSample {
+    before: ProcessorTime,
+    after: ProcessorTime,
+    origin: ProcessorTime,
     before_bytes: u64,
     after_bytes: u64,
 }
 
-/// The entry that a single change toggles: in turns a further one, and the one that was toggled some changes ago. A
-/// control server gathers changes, and there and back in one answer would be no change at all.
-fn toggled_by(change: usize, upstreams: usize) -> usize {
-    let back_after = MOST_TOGGLED.min(upstreams / 4);
-    let further = change / 2;
-    if change.is_multiple_of(2) {
-        further % upstreams
-    } else {
-        (further + upstreams - back_after) % upstreams
-    }
+/// The entry that a single change toggles: alternately a new one, and one that was toggled some changes ago. The second
+/// toggle of an entry comes later than the first, because a control server combines the changes of a short time into
+/// one response, and an entry toggled twice within it would be no change at all.
+fn entry_to_toggle(change: usize, upstreams: usize) -> usize {
+    let back_after = MAX_TOGGLED_ENTRIES.min(upstreams / 4);
+    let newest = change / 2;
+    if change.is_multiple_of(2) { newest % upstreams } else { (newest + upstreams - back_after) % upstreams }
 }
 
-fn ready(running: Running) -> io::Result<Running> {
-    if running.start.is_none() {
-        let said = running.last_line();
-        return Err(io::Error::other(format!("the balancer was not ready in time: {said}")));
+/// Returns an error for a balancer that was not ready in time.
+fn require_ready(balancer: BalancerProcess) -> io::Result<BalancerProcess> {
+    if balancer.start_cost.is_none() {
+        let last_line = balancer.last_log_line();
+        return Err(io::Error::other(format!("the balancer was not ready in time: {last_line}")));
     }
-    Ok(running)
+    Ok(balancer)
 }
 
-/// Sets records to the values that discovery lists.
-fn records(discovery: &Discovery, entries: impl IntoIterator<Item = usize>) -> io::Result<Vec<NewChange>> {
+/// Changes that set the records of these entries to their values in discovery's list.
+fn upstream_records(
+    discovery: &DiscoveryStub,
+    entries: impl IntoIterator<Item = usize>,
+) -> io::Result<Vec<NewChange>> {
     let upstream = |number| {
-        let value = RawValue::from_string(discovery.entry(number))?;
-        record(RecordKind::Upstream, &Listing::name(number), value)
+        let value = RawValue::from_string(discovery.entry_json(number))?;
+        record_change(RecordKind::Upstream, &UpstreamList::entry_name(number), value)
     };
     entries.into_iter().map(upstream).collect()
 }
 
-fn record(kind: RecordKind, name: &str, value: Box<RawValue>) -> io::Result<NewChange> {
-    let key = Key::new(kind, name).map_err(|fault| io::Error::other(format!("{name}: {fault}")))?;
+/// A change that sets a record to a value.
+fn record_change(kind: RecordKind, name: &str, value: Box<RawValue>) -> io::Result<NewChange> {
+    let key = Key::new(kind, name).map_err(|error| io::Error::other(format!("{name}: {error}")))?;
     Ok(NewChange { key, value: Some(value) })
 }
--- a/crates/pondlb-lab/src/slopes/distribution/phase.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/phase.rs
@@ -1,71 +1,74 @@
-//! What both balancers did over the same while.
+//! The measurements of both balancers over the same span of time.
 
-use crate::slopes::changes::seen;
-use crate::slopes::load::Latency;
-use crate::slopes::probe::Scheduled;
+use crate::slopes::changes::latency_note;
+use crate::slopes::load_generator::Latency;
+use crate::slopes::process_stats::ProcessorTime;
 
-/// One of the balancers over a phase.
-pub struct Side {
-    /// Milliseconds on a processor.
+/// The measurements of one balancer over a phase.
+pub struct BalancerMeasurement {
+    /// Time spent running on a processor, in milliseconds.
     pub processor_ms: f64,
-    /// To and from what it has its list from.
+    /// Bytes exchanged with discovery or the control server.
     pub bytes: f64,
-    /// Its processor time, and how long it waited for one.
-    pub scheduled: Scheduled,
-    /// Times of answers through it.
-    pub through: Latency,
-    /// Whether it had all changes in force in the end.
-    pub is_up_to_date: bool,
+    /// Time spent running on a processor and waiting for one.
+    pub processor_time: ProcessorTime,
+    /// Latencies of responses through the balancer.
+    pub latency: Latency,
+    /// Whether it had confirmed all changes by the end.
+    pub has_all_changes: bool,
 }
 
-/// Both balancers over the same phase.
+/// The measurements of a phase.
 pub struct Phase {
-    /// How long it was.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// Entries changed one by one, or messages of many.
+    /// Number of changes: single upstreams, or messages that change many.
     pub changes: f64,
-    /// The balancer that is told by discovery.
-    pub before: Side,
+    /// The balancer that watches discovery.
+    pub before: BalancerMeasurement,
     /// The balancer that follows the origin.
-    pub after: Side,
-    /// Milliseconds of the origin on a processor.
-    pub origin_ms: f64,
-    /// Times of answers straight from an upstream.
-    pub direct: Latency,
+    pub after: BalancerMeasurement,
+    /// Time that the origin spent running on a processor, in milliseconds.
+    pub origin_processor_ms: f64,
+    /// Latencies of responses from an upstream directly.
+    pub direct_latency: Latency,
 }
 
-/// Which of the two balancers.
+/// One of the two compared balancers.
 #[derive(Clone, Copy)]
-pub enum Which {
-    /// The one that is told by discovery.
+pub enum ComparedBalancer {
+    /// The balancer that watches discovery.
     Before,
-    /// The one that follows a control server.
+    /// The balancer that follows a control server.
     After,
 }
 
 impl Phase {
-    /// One of the two.
-    pub fn side(&self, which: Which) -> &Side {
-        match which {
-            Which::Before => &self.before,
-            Which::After => &self.after,
+    /// The measurements of one of the balancers.
+    pub fn balancer(&self, compared: ComparedBalancer) -> &BalancerMeasurement {
+        match compared {
+            ComparedBalancer::Before => &self.before,
+            ComparedBalancer::After => &self.after,
         }
     }
 
-    /// What one change adds to a quantity, whose value of a quiet second is known from the same balancer.
-    pub fn added(&self, quiet: &Phase, value: impl Fn(&Phase) -> f64) -> f64 {
+    /// The increase of a quantity for each change. What the quantity would have been in the same time without changes
+    /// is computed from the quiet phase of the same balancers and subtracted.
+    pub fn added_per_change(&self, quiet: &Phase, value: impl Fn(&Phase) -> f64) -> f64 {
         (value(self) - value(quiet) * self.seconds / quiet.seconds) / self.changes
     }
 
-    /// How much longer answers took through a balancer than straight from an upstream; none without answers.
-    pub fn added_p99(&self, which: Which) -> Option<f64> {
-        let through = self.side(which).through;
-        (through.answered > 0 && self.direct.answered > 0).then_some(through.p99 - self.direct.p99)
+    /// The 99th percentile through a balancer minus that from an upstream directly, in milliseconds; none if either has
+    /// no answered requests.
+    pub fn added_p99_ms(&self, compared: ComparedBalancer) -> Option<f64> {
+        let latency = self.balancer(compared).latency;
+        (latency.answered > 0 && self.direct_latency.answered > 0)
+            .then_some(latency.p99_ms - self.direct_latency.p99_ms)
     }
 
-    /// What stands beside a latency of one of them.
-    pub fn seen(&self, which: Which) -> String {
-        let side = self.side(which);
-        seen(&side.through, &side.scheduled)
+    /// The note beside a latency of one of the balancers.
+    pub fn latency_note(&self, compared: ComparedBalancer) -> String {
+        let measurement = self.balancer(compared);
+        latency_note(&measurement.latency, &measurement.processor_time)
     }
 }
--- a/crates/pondlb-lab/src/slopes/distribution/report.rs
+++ b/crates/pondlb-lab/src/slopes/distribution/report.rs
@@ -1,73 +1,138 @@
-//! The series of both balancers and of the origin.
+//! Builds the series of both balancers and of the origin from the measurements.
 
-use super::phase::{Phase, Side, Which};
-use super::{At, RATES};
+use super::phase::{BalancerMeasurement, ComparedBalancer, Phase};
+use super::{CHANGE_RATES, SizeMeasurement};
 use crate::slopes::series::Series;
 
+/// What the sizes of all series count.
 const ALONG: &str = "upstreams";
 
-/// All series of what was measured at each length of the list.
-pub fn all_series(measured: &[(usize, At)]) -> Vec<Series> {
+/// All series, from the measurements at each number of upstreams.
+pub fn all_series(measured: &[(usize, SizeMeasurement)]) -> Vec<Series> {
     let mut series = Vec::new();
-    for (which, side) in [(Which::Before, "before"), (Which::After, "after")] {
-        series.push(Series::column(format!("resident memory, {side}"), "MB", ALONG, measured, |at| {
-            Some(match which {
-                Which::Before => at.before_memory_mb,
-                Which::After => at.after_memory_mb,
-            })
+    for (compared, side) in [(ComparedBalancer::Before, "before"), (ComparedBalancer::After, "after")] {
+        series.push(Series::from_measurements(
+            format!("resident memory, {side}"),
+            "MB",
+            ALONG,
+            measured,
+            |measurement| {
+                Some(match compared {
+                    ComparedBalancer::Before => measurement.before_memory_mb,
+                    ComparedBalancer::After => measurement.after_memory_mb,
+                })
+            },
+        ));
+        series.push(quiet_processor_series(measured, compared, side));
+        series.push(added_p99_series(measured, compared, &format!("quiet, {side}"), |measurement| {
+            &measurement.quiet
         }));
-        series.push(quiet_processor(measured, which, side));
-        series.push(added_p99(measured, which, &format!("quiet, {side}"), |at| &at.quiet));
-        for (index, rate) in RATES.into_iter().enumerate() {
-            let what = format!("{rate} changes a second, {side}");
-            series.extend(of_changes(measured, which, &what, |at| &at.single[index]));
+        for (index, rate) in CHANGE_RATES.into_iter().enumerate() {
+            let circumstances = format!("{rate} changes a second, {side}");
+            series.extend(change_series(measured, compared, &circumstances, |measurement| {
+                &measurement.single_changes[index]
+            }));
         }
-        series.extend(of_changes(measured, which, &format!("a zone at once, {side}"), |at| &at.zone));
+        series.extend(change_series(measured, compared, &format!("a zone at once, {side}"), |measurement| {
+            &measurement.zone_changes
+        }));
     }
-    for (index, rate) in RATES.into_iter().enumerate() {
-        series.push(of_origin(measured, &format!("{rate} changes a second"), |at| &at.single[index]));
+    for (index, rate) in CHANGE_RATES.into_iter().enumerate() {
+        series.push(origin_series(measured, &format!("{rate} changes a second"), |measurement| {
+            &measurement.single_changes[index]
+        }));
     }
-    series.push(of_origin(measured, "a zone at once", |at| &at.zone));
+    series.push(origin_series(measured, "a zone at once", |measurement| &measurement.zone_changes));
     series
 }
 
-fn quiet_processor(measured: &[(usize, At)], which: Which, side: &str) -> Series {
-    Series::column(format!("processor time, quiet, {side}"), "ms/s", ALONG, measured, |at| {
-        Some(at.quiet.side(which).processor_ms / at.quiet.seconds)
-    })
+/// Processor time of one balancer without changes.
+fn quiet_processor_series(
+    measured: &[(usize, SizeMeasurement)],
+    compared: ComparedBalancer,
+    side: &str,
+) -> Series {
+    Series::from_measurements(
+        format!("processor time, quiet, {side}"),
+        "ms/s",
+        ALONG,
+        measured,
+        |measurement| Some(measurement.quiet.balancer(compared).processor_ms / measurement.quiet.seconds),
+    )
 }
 
-fn of_changes(
-    measured: &[(usize, At)],
-    which: Which,
-    what: &str,
-    phase: impl Fn(&At) -> &Phase,
+/// Cost of a change and added latency for one balancer in one phase. `circumstances` ends the name of each quantity.
+fn change_series(
+    measured: &[(usize, SizeMeasurement)],
+    compared: ComparedBalancer,
+    circumstances: &str,
+    phase: impl Fn(&SizeMeasurement) -> &Phase,
 ) -> Vec<Series> {
-    let added =
-        |at: &At, value: fn(&Side) -> f64| phase(at).added(&at.quiet, |phase| value(phase.side(which)));
+    let added = |measurement: &SizeMeasurement, value: fn(&BalancerMeasurement) -> f64| {
+        phase(measurement).added_per_change(&measurement.quiet, |phase| value(phase.balancer(compared)))
+    };
     vec![
-        Series::column(format!("processor time a change, {what}"), "ms", ALONG, measured, |at| {
-            Some(added(at, |side| side.processor_ms))
-        }),
-        Series::column(format!("bytes a change, {what}"), "KB", ALONG, measured, |at| {
-            Some(added(at, |side| side.bytes) / 1000.0)
-        }),
-        Series::column(format!("changes seen, {what}"), "changes", ALONG, measured, |at| {
-            phase(at).side(which).is_up_to_date.then(|| phase(at).changes)
-        })
+        Series::from_measurements(
+            format!("processor time a change, {circumstances}"),
+            "ms",
+            ALONG,
+            measured,
+            |measurement| Some(added(measurement, |side| side.processor_ms)),
+        ),
+        Series::from_measurements(
+            format!("bytes a change, {circumstances}"),
+            "KB",
+            ALONG,
+            measured,
+            |measurement| Some(added(measurement, |side| side.bytes) / 1000.0),
+        ),
+        Series::from_measurements(
+            format!("changes seen, {circumstances}"),
+            "changes",
+            ALONG,
+            measured,
+            |measurement| {
+                phase(measurement).balancer(compared).has_all_changes.then(|| phase(measurement).changes)
+            },
+        )
         .without_fit(),
-        added_p99(measured, which, what, phase),
+        added_p99_series(measured, compared, circumstances, phase),
     ]
 }
 
-fn added_p99(measured: &[(usize, At)], which: Which, what: &str, phase: impl Fn(&At) -> &Phase) -> Series {
-    let value = |at: &At| phase(at).added_p99(which);
-    let note = |at: &At| Some(phase(at).seen(which));
-    Series::noted(format!("added p99, {what}"), "ms", ALONG, measured, value, note).without_fit()
+/// Added 99th percentile of one balancer in one phase.
+fn added_p99_series(
+    measured: &[(usize, SizeMeasurement)],
+    compared: ComparedBalancer,
+    circumstances: &str,
+    phase: impl Fn(&SizeMeasurement) -> &Phase,
+) -> Series {
+    let value = |measurement: &SizeMeasurement| phase(measurement).added_p99_ms(compared);
+    let note = |measurement: &SizeMeasurement| Some(phase(measurement).latency_note(compared));
+    Series::from_measurements_with_notes(
+        format!("added p99, {circumstances}"),
+        "ms",
+        ALONG,
+        measured,
+        value,
+        note,
+    )
+    .without_fit()
 }
 
-fn of_origin(measured: &[(usize, At)], what: &str, phase: impl Fn(&At) -> &Phase) -> Series {
-    Series::column(format!("processor time a change, {what}, origin"), "ms", ALONG, measured, |at| {
-        Some(phase(at).added(&at.quiet, |phase| phase.origin_ms))
-    })
+/// Processor time of the origin for each change in one phase.
+fn origin_series(
+    measured: &[(usize, SizeMeasurement)],
+    circumstances: &str,
+    phase: impl Fn(&SizeMeasurement) -> &Phase,
+) -> Series {
+    Series::from_measurements(
+        format!("processor time a change, {circumstances}, origin"),
+        "ms",
+        ALONG,
+        measured,
+        |measurement| {
+            Some(phase(measurement).added_per_change(&measurement.quiet, |phase| phase.origin_processor_ms))
+        },
+    )
 }
--- a/crates/pondlb-lab/src/slopes/mod.rs
+++ b/crates/pondlb-lab/src/slopes/mod.rs
@@ -1,24 +1,25 @@
-//! What one balancer or control server needs of state, messages, processor time and memory, measured against one
-//! dimension of its size at a time: points, the line through them, and one point beyond. docs/CAPACITY.md is worked out
-//! from these slopes.
+//! Measures how the processor time, memory, network traffic and start-up time of one balancer or control server grow
+//! with one dimension of its size at a time. Each quantity is measured at several sizes; a line is fitted through all
+//! but the largest, and the largest is compared with the value that the line predicts. The capacity figures of
+//! docs/CAPACITY.md are computed from the slopes of these lines.
 
+mod balancer_process;
+mod balancers;
 mod bench;
-mod callers;
 mod changes;
+mod classes_and_tenants;
 mod configuration;
 mod control;
 mod distribution;
 pub mod fit;
-pub mod listing;
-mod load;
-mod pace;
-pub mod probe;
+mod load_generator;
+mod pacer;
+pub mod process_stats;
 mod requests;
 mod restarts;
-mod running;
 pub mod series;
-mod settings;
-pub mod stand_in;
+pub mod stubs;
+pub mod upstream_list;
 mod upstreams;
 
 use std::io;
@@ -33,32 +34,33 @@
 use bench::Bench;
 use series::Series;
 
-/// What a series goes along.
+/// The dimension of the size that a group of series varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Dimension {
-    /// Length of the list
+    /// Number of upstreams in the list
     Upstreams,
-    /// Changes a second, and entries changed at once
+    /// Upstream changes per second, and upstreams changed in one message
     Changes,
-    /// Classes in the settings
+    /// Number of request classes in the settings
     Classes,
-    /// Tenants in the settings
+    /// Number of tenants in the settings
     Tenants,
-    /// Requests a second
+    /// Requests per second
     Requests,
-    /// Starts, against the length of the list
+    /// Balancer starts, against the number of upstreams in the list
     Restarts,
-    /// Balancers that follow one discovery
+    /// Number of balancers that watch one discovery service
     Balancers,
-    /// Discovery's watch beside control servers, against the length of the list; only where it is named
+    /// A balancer that watches discovery beside one that follows a control server, against the number of upstreams;
+    /// only measured when named
     Distribution,
-    /// Control servers, against followers, records, changes a second and starts; only where it is named
+    /// Control servers, against followers, records, changes per second and concurrent starts; only measured when named
     Control,
 }
 
-/// What is measured where nothing is named: all that needs a balancer alone.
-const ALONE: [Dimension; 7] = [
+/// The dimensions that are measured when none is named: all that need only the balancer program.
+const DEFAULT_DIMENSIONS: [Dimension; 7] = [
     Dimension::Upstreams,
     Dimension::Changes,
     Dimension::Classes,
@@ -68,59 +70,60 @@
     Dimension::Balancers,
 ];
 
-/// What is measured, and how.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The balancer.
+    /// The balancer program.
     pub program: Program,
-    /// The balancer that `Dimension::Distribution` sets before discovery.
+    /// The balancer program that watches discovery in `Dimension::Distribution`.
     pub before: Program,
-    /// The control server of `Dimension::Distribution` and `Dimension::Control`.
+    /// The control server program of `Dimension::Distribution` and `Dimension::Control`.
     pub control_server: Program,
-    /// All that needs a balancer alone where none is named.
+    /// The dimensions to measure, in this order; if empty, all that need only the balancer program.
     pub dimensions: Vec<Dimension>,
-    /// How long each point is measured.
+    /// How long each point is measured, in seconds.
     pub seconds: f64,
-    /// All sizes times this.
+    /// Factor by which sizes are scaled down, above 0 up to 1.
     pub share: f64,
 }
 
-/// What was measured along one dimension.
+/// The result of one dimension.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Measured {
-    /// Which.
+pub struct DimensionResult {
+    /// The dimension that was varied.
     pub dimension: Dimension,
-    /// Why its times say nothing, if they do not.
+    /// Why the measured times are not meaningful; none if they are.
     pub void: Option<String>,
-    /// Each quantity.
+    /// One series for each measured quantity.
     pub series: Vec<Series>,
 }
 
-/// The shortest and longest time for one point.
-const SECONDS: std::ops::RangeInclusive<f64> = 0.1..=60.0;
-const SHARES: std::ops::RangeInclusive<f64> = 0.001..=1.0;
+/// Accepted values of `--seconds`, the measuring time of one point.
+const MEASUREMENT_SECONDS_RANGE: std::ops::RangeInclusive<f64> = 0.1..=60.0;
+/// Accepted values of `--share`.
+const SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1.0;
 
 impl Options {
-    /// What of it can't be used, in plain words.
+    /// Checks that the options are within their ranges.
     ///
     /// # Errors
-    /// The name of the option at fault, with what is accepted.
+    /// The name and value of the option that is out of range, and the accepted range.
     pub fn check(&self) -> Result<(), String> {
-        if !SECONDS.contains(&self.seconds) {
+        if !MEASUREMENT_SECONDS_RANGE.contains(&self.seconds) {
             return Err(format!("--seconds {}: 0.1 to 60 are accepted", self.seconds));
         }
-        if !SHARES.contains(&self.share) {
+        if !SHARE_RANGE.contains(&self.share) {
             return Err(format!("--share {}: 0.001 to 1 are accepted", self.share));
         }
         Ok(())
     }
 
-    /// What is measured.
+    /// The named dimensions, or the default ones if none is named.
     fn dimensions(&self) -> &[Dimension] {
-        if self.dimensions.is_empty() { &ALONE } else { &self.dimensions }
+        if self.dimensions.is_empty() { &DEFAULT_DIMENSIONS } else { &self.dimensions }
     }
 
-    /// The programs that a dimension starts.
+    /// The programs that the measurement of a dimension starts.
     fn programs(&self, dimension: Dimension) -> Vec<&Program> {
         match dimension {
             Dimension::Distribution => vec![&self.program, &self.before, &self.control_server],
@@ -130,54 +133,80 @@
     }
 }
 
-/// Measures one dimension after the other, and tells of each as it is done.
+/// Measures one dimension after the other. `done` is called with each result as soon as it is complete.
 ///
 /// # Errors
-/// A program is missing, can't be started, or ends by itself.
-pub async fn measure(options: &Options, mut done: impl FnMut(&Measured)) -> io::Result<Vec<Measured>> {
+/// A program is missing, can't be started or exits on its own.
+pub async fn measure(
+    options: &Options,
+    mut done: impl FnMut(&DimensionResult),
+) -> io::Result<Vec<DimensionResult>> {
     let span = Duration::from_secs_f64(options.seconds);
     for dimension in options.dimensions() {
-        options.programs(*dimension).into_iter().try_for_each(is_there)?;
+        options.programs(*dimension).into_iter().try_for_each(check_program_exists)?;
     }
     let bench = Bench::open(options.program.clone(), span, options.share).await?;
-    let ticks = spawn_local(record_timer_lateness(bench.book.clone()));
+    let lateness_task = spawn_local(record_timer_lateness(bench.recorder.clone()));
     let mut results = Vec::new();
     for dimension in options.dimensions() {
-        let series = along(&bench, options, *dimension).await?;
-        let void = bench.void();
-        let measured = Measured { dimension: *dimension, void, series };
-        done(&measured);
-        results.push(measured);
+        let series = measure_dimension(&bench, options, *dimension).await?;
+        let void = bench.take_void_reason();
+        let result = DimensionResult { dimension: *dimension, void, series };
+        done(&result);
+        results.push(result);
     }
-    ticks.abort();
+    lateness_task.abort();
     Ok(results)
 }
 
-fn is_there(program: &Program) -> io::Result<()> {
-    let named =
-        |fault: io::Error| io::Error::new(fault.kind(), format!("{}: {fault}", program.path.display()));
-    std::fs::metadata(&program.path).map(|_| ()).map_err(named)
+/// Checks that the file of a program exists, so that a wrong path is reported before anything starts.
+fn check_program_exists(program: &Program) -> io::Result<()> {
+    let with_path =
+        |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", program.path.display()));
+    std::fs::metadata(&program.path).map(|_| ()).map_err(with_path)
 }
 
-async fn along(bench: &Bench, options: &Options, dimension: Dimension) -> io::Result<Vec<Series>> {
+/// Measures all series of one dimension.
+async fn measure_dimension(
+    bench: &Bench,
+    options: &Options,
+    dimension: Dimension,
+) -> io::Result<Vec<Series>> {
     match dimension {
         Dimension::Upstreams => upstreams::measure(bench).await,
         Dimension::Changes => changes::measure(bench).await,
-        Dimension::Classes => settings::classes(bench).await,
-        Dimension::Tenants => settings::tenants(bench).await,
+        Dimension::Classes => classes_and_tenants::measure_classes(bench).await,
+        Dimension::Tenants => classes_and_tenants::measure_tenants(bench).await,
         Dimension::Requests => requests::measure(bench).await,
         Dimension::Restarts => restarts::measure(bench).await,
-        Dimension::Balancers => callers::measure(bench).await,
+        Dimension::Balancers => balancers::measure(bench).await,
         Dimension::Distribution => distribution::measure(bench, options).await,
         Dimension::Control => control::measure(bench, options).await,
     }
 }
 
-impl Measured {
-    /// As people read it.
+impl Dimension {
+    /// The heading of the dimension's table.
+    pub fn heading(self) -> &'static str {
+        match self {
+            Dimension::Upstreams => "Upstreams",
+            Dimension::Changes => "Changes",
+            Dimension::Classes => "Classes",
+            Dimension::Tenants => "Tenants",
+            Dimension::Requests => "Requests",
+            Dimension::Restarts => "Restarts",
+            Dimension::Balancers => "Balancers",
+            Dimension::Distribution => "Distribution",
+            Dimension::Control => "Control",
+        }
+    }
+}
+
+impl DimensionResult {
+    /// The result as a table of text.
     pub fn table(&self) -> String {
         let tables: String = self.series.iter().map(|series| series.table() + "\n").collect();
         let void = self.void.as_ref().map_or_else(String::new, |why| format!("void: {why}\n"));
-        format!("== {:?}\n{tables}{void}", self.dimension)
+        format!("== {}\n{tables}{void}", self.dimension.heading())
     }
 }
--- a/crates/pondlb-lab/tests/slopes.rs
+++ b/crates/pondlb-lab/tests/slopes.rs
@@ -1,4 +1,5 @@
-//! Slopes: the line, what is read of a process, and a small run from the command line.
+//! Tests of `pondlb-lab slopes`: the fit of the line, the statistics of a process, the discovery stub, and small runs
+//! from the command line.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,10 +8,11 @@
 
 use pondlb_lab::http::HttpConnection;
 use pondlb_lab::slopes::fit::Line;
-use pondlb_lab::slopes::listing::Listing;
-use pondlb_lab::slopes::probe::{Memory, Process, Scheduled, parse_schedstat, parse_status};
+use pondlb_lab::slopes::process_stats::{MemoryUsage, Process, ProcessorTime, parse_schedstat, parse_status};
 use pondlb_lab::slopes::series::{Point, Series};
-use pondlb_lab::slopes::stand_in::Discovery;
+use pondlb_lab::slopes::stubs::DiscoveryStub;
+use pondlb_lab::slopes::upstream_list::UpstreamList;
+use pondlb_lab::slopes::{Dimension, DimensionResult};
 use serde_json::Value;
 use tokio::net::TcpStream;
 use tokio::runtime::Builder;
@@ -23,22 +25,22 @@
 mod slopes_support;
 
 #[test]
-fn a_line_goes_through_exact_points_and_between_others() {
-    let exact = Line::through(&[(0.0, 3.0), (10.0, 5.0), (20.0, 7.0)]).unwrap();
+fn line_fits_exact_points_and_averages_scattered_ones() {
+    let exact = Line::fit(&[(0.0, 3.0), (10.0, 5.0), (20.0, 7.0)]).unwrap();
     assert!((exact.intercept - 3.0).abs() < 1e-9 && (exact.slope - 0.2).abs() < 1e-9);
     assert!(exact.residual < 1e-9);
-    assert!((exact.at(100.0) - 23.0).abs() < 1e-9);
-    // Two points off by one each, up and down: the line is the same, and the residual tells them.
-    let between = Line::through(&[(0.0, 4.0), (0.0, 2.0), (10.0, 6.0), (10.0, 4.0)]).unwrap();
+    assert!((exact.value_at(100.0) - 23.0).abs() < 1e-9);
+    // Two points at each size, one above and one below the same line by 1: the line is the same, with a residual of 1.
+    let between = Line::fit(&[(0.0, 4.0), (0.0, 2.0), (10.0, 6.0), (10.0, 4.0)]).unwrap();
     assert!((between.intercept - 3.0).abs() < 1e-9 && (between.slope - 0.2).abs() < 1e-9);
     assert!((between.residual - 1.0).abs() < 1e-9);
 }
 
 #[test]
-fn no_line_goes_through_points_of_one_size() {
-    assert_eq!(Line::through(&[]), None);
-    assert_eq!(Line::through(&[(1.0, 2.0)]), None);
-    assert_eq!(Line::through(&[(1.0, 2.0), (1.0, 3.0)]), None);
+fn no_line_is_fitted_to_points_of_a_single_size() {
+    assert_eq!(Line::fit(&[]), None);
+    assert_eq!(Line::fit(&[(1.0, 2.0)]), None);
+    assert_eq!(Line::fit(&[(1.0, 2.0), (1.0, 3.0)]), None);
 }
 
 fn point(size: f64, value: Option<f64>) -> Point {
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn the_last_point_is_compared_with_the_line_through_the_others() {
+fn largest_point_is_compared_with_the_line_through_the_others() {
     let points = [(1.0, Some(1.0)), (2.0, Some(2.0)), (3.0, None), (4.0, Some(4.0)), (10.0, Some(15.0))];
     let points = points.map(|(size, value)| point(size, value));
     let series = Series::new("memory", "MB", "upstreams", points.to_vec());
@@ -57,44 +59,44 @@
 }
 
 #[test]
-fn a_point_that_was_not_measured_has_no_ratio() {
+fn point_without_a_value_or_with_a_prediction_of_zero_has_no_ratio() {
     let points = vec![point(1.0, Some(0.0)), point(2.0, Some(0.0)), point(3.0, None)];
     let beyond = Series::new("calls", "calls/s", "balancers", points).beyond.unwrap();
     assert_eq!((beyond.predicted, beyond.ratio), (Some(0.0), None));
     let points = vec![point(1.0, Some(0.0)), point(2.0, Some(0.0)), point(3.0, Some(1.0))];
-    // Nothing is so many times nothing.
+    // A measured value divided by a prediction of 0 is not finite.
     assert_eq!(Series::new("calls", "calls/s", "balancers", points).beyond.unwrap().ratio, None);
 }
 
 #[test]
-fn processor_time_and_memory_are_read_as_the_system_writes_them() {
-    let (ran, waited) = (Duration::from_nanos(45_595_251), Duration::from_nanos(4_451_743));
-    assert_eq!(parse_schedstat("45595251 4451743 117\n"), Some(Scheduled { ran, waited }));
+fn proc_files_with_processor_time_and_memory_are_parsed() {
+    let (on_cpu, run_queue_wait) = (Duration::from_nanos(45_595_251), Duration::from_nanos(4_451_743));
+    assert_eq!(parse_schedstat("45595251 4451743 117\n"), Some(ProcessorTime { on_cpu, run_queue_wait }));
     assert_eq!(parse_schedstat("45595251 4451743\n"), None);
     assert_eq!(parse_schedstat("45595251\n"), None);
     assert_eq!(parse_schedstat("-1 0 0\n"), None);
     assert_eq!(parse_schedstat(""), None);
     let status = "Name:\tx\nVmPeak:\t    9000 kB\nVmHWM:\t    2048 kB\nVmRSS:\t    1024 kB\nThreads:\t1\n";
-    assert_eq!(parse_status(status), Some(Memory { resident: 1 << 20, peak: 2 << 20 }));
+    assert_eq!(parse_status(status), Some(MemoryUsage { resident_bytes: 1 << 20, peak_bytes: 2 << 20 }));
     assert_eq!(parse_status("VmHWM:\t 2048 kB\n"), None);
     assert_eq!(parse_status("VmRSS:\t 1024 MB\nVmHWM:\t 2048 kB\n"), None);
 }
 
 #[test]
-fn the_own_process_can_be_probed() {
+fn statistics_of_the_own_process_can_be_read() {
     let own = Process(std::process::id());
     let memory = own.memory().unwrap();
-    assert!(memory.resident > 0 && memory.peak >= memory.resident);
+    assert!(memory.resident_bytes > 0 && memory.peak_bytes >= memory.resident_bytes);
     assert!(own.descriptors().unwrap() >= 3);
-    assert!(own.scheduled().unwrap().ran > Duration::ZERO);
+    assert!(own.processor_time().unwrap().on_cpu > Duration::ZERO);
     assert!(Process(u32::MAX).memory().is_err());
-    assert!(Process(u32::MAX).scheduled().is_err());
+    assert!(Process(u32::MAX).processor_time().is_err());
 }
 
-/// Threads end between the moment when they are listed and the moment when they are read, as they do in a process with
-/// a pool of threads.
+/// A thread that ends after the threads were listed and before its statistics are read must not fail the whole reading.
+/// This happens in processes with a thread pool.
 #[test]
-fn a_process_whose_threads_end_can_be_probed() {
+fn statistics_of_a_process_whose_threads_end_can_be_read() {
     let own = Process(std::process::id());
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -104,27 +106,27 @@
             }
         };
         (0..4).for_each(|_| drop(scope.spawn(start_short_threads)));
-        let probes: Vec<_> = (0..5_000).map(|_| own.scheduled()).collect();
+        let readings: Vec<_> = (0..5_000).map(|_| own.processor_time()).collect();
         stop.store(true, Ordering::Relaxed);
-        for probe in probes {
-            assert!(probe.unwrap().ran > Duration::ZERO);
+        for reading in readings {
+            assert!(reading.unwrap().on_cpu > Duration::ZERO);
         }
     });
 }
 
-/// What discovery answers to one call, as JSON.
-async fn call(discovery: &Discovery, query: &str) -> Value {
-    let mut wire = HttpConnection::new(TcpStream::connect(discovery.address).await.unwrap());
-    wire.write(&format!("GET /catalog/members{query} HTTP/1.1\r\nHost: d\r\n\r\n")).await.unwrap();
-    serde_json::from_str(&wire.read_response().await.unwrap().unwrap().body).unwrap()
+/// The response of discovery to one call, as JSON.
+async fn call(discovery: &DiscoveryStub, query: &str) -> Value {
+    let mut connection = HttpConnection::new(TcpStream::connect(discovery.address).await.unwrap());
+    connection.write(&format!("GET /catalog/members{query} HTTP/1.1\r\nHost: d\r\n\r\n")).await.unwrap();
+    serde_json::from_str(&connection.read_response().await.unwrap().unwrap().body).unwrap()
 }
 
 #[test]
-fn discovery_pushes_a_changed_entry_alone_and_whole_lists() {
+fn discovery_stub_sends_a_changed_entry_alone_and_full_lists() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let listing = Listing::new(vec!["127.0.0.1:9".parse().unwrap()], 5);
-        let discovery = Discovery::start(listing).await.unwrap();
+        let listing = UpstreamList::new(vec!["127.0.0.1:9".parse().unwrap()], 5);
+        let discovery = DiscoveryStub::start(listing).await.unwrap();
         let whole = call(&discovery, "").await;
         assert_eq!((&whole["rev"], &whole["all"]), (&1.into(), &true.into()));
         assert_eq!(whole["targets"].as_array().unwrap().len(), 5);
@@ -141,15 +143,37 @@
             (1, &"u00003".into(), &"leaving".into())
         );
 
-        discovery.push_whole();
+        discovery.push_full_list();
         let anew = call(&discovery, "?from=2&hold_ms=10").await;
         assert_eq!((&anew["rev"], &anew["all"]), (&3.into(), &true.into()));
         assert_eq!(anew["targets"][3]["state"], "leaving");
-        assert_eq!((discovery.version(), discovery.heard(), discovery.traffic().calls), (3, 2, 4));
+        assert_eq!(
+            (discovery.version(), discovery.confirmed_version(), discovery.traffic().calls),
+            (3, 2, 4)
+        );
     });
 }
 
-/// The result of a small run before a test double, which holds the list that it is given.
+#[test]
+fn dimensions_have_the_headings_of_the_printed_tables() {
+    let headings = [
+        (Dimension::Upstreams, "Upstreams"),
+        (Dimension::Changes, "Changes"),
+        (Dimension::Classes, "Classes"),
+        (Dimension::Tenants, "Tenants"),
+        (Dimension::Requests, "Requests"),
+        (Dimension::Restarts, "Restarts"),
+        (Dimension::Balancers, "Balancers"),
+        (Dimension::Distribution, "Distribution"),
+        (Dimension::Control, "Control"),
+    ];
+    for (dimension, heading) in headings {
+        let result = DimensionResult { dimension, void: None, series: Vec::new() };
+        assert_eq!(result.table(), format!("== {heading}\n"));
+    }
+}
+
+/// The results of a small run with a test double in place of the balancer, which keeps the list that it receives.
 fn small_run(folder: &Path, dimensions: &[&str]) -> Vec<Value> {
     let json = folder.join("slopes.json");
     let planted = env!("CARGO_BIN_EXE_pondlb-planted");
@@ -157,14 +181,14 @@
     line.extend(["--program", planted, "--argument", "honest", "--seconds", "0.2", "--share", "0.02"]);
     line.extend(["--json", json.to_str().unwrap()]);
     let run = slopes(&line);
-    // Void says that times mean nothing, which are not looked at here.
+    // A void run, whose measured times are not meaningful, is accepted: this test does not check times.
     let said = String::from_utf8_lossy(&run.stderr);
     assert!(matches!(run.status.code(), Some(0 | VOID)), "{:?} {said}", run.status);
     serde_json::from_str(&std::fs::read_to_string(json).unwrap()).unwrap()
 }
 
 #[test]
-fn a_small_run_takes_all_sizes_and_measures_every_point() {
+fn small_run_measures_every_point_at_every_size() {
     let folder = tempfile::tempdir().unwrap();
     let results = small_run(folder.path(), &["upstreams", "tenants"]);
     let named: Vec<&Value> = results.iter().map(|result| &result["dimension"]).collect();
@@ -173,7 +197,7 @@
     assert_eq!(sizes(memory), [4.0, 20.0, 80.0, 160.0, 480.0]);
     assert!(values(memory).iter().all(|value| *value > 0.0));
     let wire = values(series(&results[0], "whole list on the wire"));
-    // Entries have one length, so the line through four sizes tells the fifth.
+    // All entries have the same length, so the line through four sizes predicts the fifth.
     assert!(wire.is_sorted() && wire[4] > 20.0 * wire[0]);
     let ratio = series(&results[0], "whole list on the wire")["beyond"]["ratio"].as_f64().unwrap();
     assert!((0.95..1.05).contains(&ratio), "{ratio}");
@@ -187,16 +211,16 @@
 }
 
 #[test]
-fn more_upstreams_need_more_memory() {
+fn longer_list_needs_more_memory() {
     let folder = tempfile::tempdir().unwrap();
     let results = small_run(folder.path(), &["upstreams"]);
     let values = values(series(&results[0], "resident memory"));
-    // 160 and 480 entries, from 4: a double that holds them as JSON needs half a kilobyte and more for each.
+    // From 4 to 480 entries: the test double keeps them as JSON, which needs more than half a kilobyte each.
     assert!(values[4] > values[0], "{values:?}");
 }
 
 #[test]
-fn distribution_measures_both_balancers_and_both_see_all_changes() {
+fn distribution_measures_both_balancers_which_confirm_all_changes() {
     let folder = tempfile::tempdir().unwrap();
     let json = folder.path().join("distribution.json");
     let balancer = program("pondlb-server", "pondlb-server");
@@ -216,7 +240,7 @@
         "--json",
         json.to_str().unwrap(),
     ]);
-    // Void says that times mean nothing, which are not looked at here.
+    // A void run, whose measured times are not meaningful, is accepted: this test does not check times.
     let said = String::from_utf8_lossy(&run.stderr);
     assert!(matches!(run.status.code(), Some(0 | VOID)), "{:?} {said}", run.status);
     let results: Vec<Value> = serde_json::from_str(&std::fs::read_to_string(json).unwrap()).unwrap();
@@ -249,7 +273,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_2_before_anything_starts() {
+fn invalid_options_exit_with_2_before_anything_starts() {
     let planted = env!("CARGO_BIN_EXE_pondlb-planted");
     let cases: [(&[&str], &str); 10] = [
         (&["control", "--server", "no/such/server"], "no/such/server"),
@@ -273,7 +297,7 @@
 }
 
 #[test]
-fn a_program_that_ends_at_once_is_told_with_2() {
+fn program_that_exits_immediately_is_reported_with_exit_code_2() {
     let run = slopes(&["upstreams", "--program", "/bin/false", "--seconds", "0.2", "--share", "0.001"]);
     assert_eq!(run.status.code(), Some(2));
     let said = String::from_utf8(run.stderr).unwrap();
