--- a/crates/pondlb-server/tests/stale_list/mod.rs
+++ b/crates/pondlb-server/tests/stale_list/mod.rs
@@ -1,6 +1,6 @@
-//! Tests for balancers whose list discovery does not confirm in time (issue 636fef), with real processes and
-//! connections: nothing may be sent to an upstream that drained meanwhile, and an outage of discovery must not stop
-//! traffic.
+//! Tests for balancers whose list discovery does not confirm in time (the incident described in
+//! docs/incidents/stale-list.md), with real processes and connections: nothing may be sent to an upstream that drained
+//! meanwhile, and an outage of discovery must not stop traffic.
 
 mod discovery;
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -721,7 +721,7 @@
 }
 
 /// Counts how many of six light requests are sent after 24 requests of 20 ms that took 300 ms each, although all load
-/// reports told of empty queues; then traces two later requests.
+/// reports showed empty queues; then traces two later requests.
 fn trace_after_long_waits(config: BalancerConfig) -> String {
     let mut balancer = TestBalancer::new(BalancerConfig { balancer_count: 100, ..config });
     balancer.handle_at(0, [list_snapshot(mixed_upstreams(50))]);
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -8,12 +8,12 @@
 use pondlb::*;
 
 const POLLED: ListSource = ListSource::Polled { max_poll_interval: 10_000 * MS };
-/// Balancers count as told of a change this long after it.
-const TOLD_WITHIN_MS: u64 = 6000;
+/// A change counts as announced to all balancers this long after it.
+const ANNOUNCED_WITHIN_MS: u64 = 6000;
 const DRAIN_GRACE_MS: u64 = 500;
 /// No attempt may begin later than this after a change that the balancer does not know. Covers 50 ms by which the sockets
 /// may exceed their time limits.
-const MAX_ATTEMPT_DELAY_MS: u64 = TOLD_WITHIN_MS + DRAIN_GRACE_MS + 50;
+const MAX_ATTEMPT_DELAY_MS: u64 = ANNOUNCED_WITHIN_MS + DRAIN_GRACE_MS + 50;
 /// The service refuses calls that would wait longer.
 const MAX_QUEUE_WAIT_MS: u64 = 2000;
 const STEP_MS: u64 = 20;
@@ -148,7 +148,7 @@
             }
         }
         let updated_ms = followers.iter().map(|follower| follower.updated_ms.unwrap_or(end_ms));
-        let in_time_until_ms = change_ms + TOLD_WITHIN_MS + DRAIN_GRACE_MS;
+        let in_time_until_ms = change_ms + ANNOUNCED_WITHIN_MS + DRAIN_GRACE_MS;
         report.late_balancers = updated_ms.clone().filter(|at_ms| *at_ms > in_time_until_ms).count();
         report.last_updated_ms = updated_ms.max().unwrap_or_default().saturating_sub(change_ms);
         report
@@ -185,9 +185,10 @@
 }
 
 /// Fleet sizes with the service time of a call. All calls of a fleet together take discovery 5 s at most, which is what
-/// the six seconds until a change counts as told leave for them. Real calls took 150 to 310 ms with 6 balancers, 43 to 95 ms
-/// with 60, 33 ms with 150 and 7 to 30 ms with 300. The longest of these are simulated here or, where the calls together take
-/// longer than 5 s, in [`overloaded_discovery_eventually_answers_every_balancer`]. The times for other sizes are assumed.
+/// the six seconds until a change counts as announced leave for them. Real calls took 150 to 310 ms with 6 balancers, 43
+/// to 95 ms with 60, 33 ms with 150 and 7 to 30 ms with 300. The longest of these are simulated here or, where the calls
+/// together take longer than 5 s, in [`overloaded_discovery_eventually_answers_every_balancer`]. The times for other
+/// sizes are assumed.
 const FLEETS: [(u32, TenthMillis); 9] =
     [(1, 3000), (6, 3100), (25, 1200), (60, 700), (98, 450), (150, 330), (300, 150), (350, 130), (1024, 45)];
 
@@ -211,7 +212,7 @@
     reports.collect()
 }
 
-/// Guards against a change that counts as told but has not reached all balancers: the watches of all of them go silent
+/// Guards against a change that counts as announced but has not reached all balancers: the watches of all of them go silent
 /// together 6.5 s before the drains must be observed, and all notice it at the same moment when their watches time out.
 #[test]
 fn change_reaches_all_balancers_in_time_after_simultaneous_watch_timeouts() {
@@ -229,7 +230,7 @@
     .assert_eq(&fleet_reports(0, 0, |_| (1300, ListUpdate::WatchTimedOut, 0)));
 }
 
-/// Guards against a change that was made during an outage of discovery and counts as told six seconds after its end, but
+/// Guards against a change that was made during an outage of discovery and counts as announced six seconds after its end, but
 /// has not reached all balancers. Each call during the outage fails after 2 s.
 #[test]
 fn change_reaches_all_balancers_in_time_after_a_discovery_outage() {
@@ -273,9 +274,9 @@
     .assert_eq(&trace);
 }
 
-/// Guards against the fault of report 636fef: an attempt that begins by a stale list, once a change has counted as told for
-/// longer than the grace. Covers fleets of 1 to 900 balancers, calls of 1 to 100 ms that are answered or refused, and watches
-/// that go silent soon after a start or after a long quiet time.
+/// Guards against the incident described in docs/incidents/stale-list.md: an attempt that begins by a stale list, once a
+/// change has counted as announced for longer than the grace. Covers fleets of 1 to 900 balancers, calls of 1 to 100 ms
+/// that are answered or refused, and watches that go silent soon after a start or after a long quiet time.
 #[test]
 fn nothing_is_sent_on_a_stale_list_for_any_fleet_size_and_call_duration() {
     for balancers in [1, 6, 30, 60, 91, 150, 206, 300, 900] {
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -17,7 +17,7 @@
 /// Requests that reach the concurrency limits of all upstreams in the subset.
 const REQUESTS_PER_CHECK: u64 = 32;
 const CHECKS: u64 = 1500;
-/// One in so many list updates is a snapshot.
+/// One list update in this many is a snapshot.
 const SNAPSHOT_INTERVAL: i32 = 40;
 /// The most upstreams that an update with changes names.
 const MAX_CHANGES: u64 = 6;
