--- a/crates/pondlb-lab/src/scale/real_balancers.rs
+++ b/crates/pondlb-lab/src/scale/real_balancers.rs
@@ -187,7 +187,7 @@
         work_ms: options.work_ms,
         heavy_share: 0.0,
     };
-    let machine = UpstreamSpec {
+    let upstream = UpstreamSpec {
         count: options.served_upstreams,
         zone: "a".into(),
         group: 0,
@@ -204,7 +204,7 @@
         probing_balancers: Vec::new(),
         min_in_time_share: 0.0,
         rules: Rules::default(),
-        upstreams: vec![machine],
+        upstreams: vec![upstream],
         classes: vec![
             class(TRAFFIC_CLASSES[0], Effect::Idempotent, rate * (1.0 - NON_IDEMPOTENT_SHARE)),
             class(TRAFFIC_CLASSES[1], Effect::NonIdempotent, rate * NON_IDEMPOTENT_SHARE),
--- a/crates/pondlb-lab/src/scale/run.rs
+++ b/crates/pondlb-lab/src/scale/run.rs
@@ -134,10 +134,10 @@
         let hollow = HollowProcesses::start(&scenario, &replica_addresses, &programs.hollow_arguments)?;
         let real_bytes = Rc::new(RefCell::new(ByteLedger::default()));
         let tap_logs = real_balancers.tap_logs.clone();
-        let ledger = real_bytes.clone();
+        let byte_ledger = real_bytes.clone();
         let real_bytes_task = spawn_local(async move {
             loop {
-                ledger.borrow_mut().record(&real_balancers::read_byte_counts(&tap_logs));
+                byte_ledger.borrow_mut().record(&real_balancers::read_byte_counts(&tap_logs));
                 let window_us = WINDOW_SECONDS * 1_000_000;
                 sleep(Duration::from_micros(window_us - clock::now_us() % window_us)).await;
             }
--- a/crates/pondlb-lab/src/slopes/control/starts.rs
+++ b/crates/pondlb-lab/src/slopes/control/starts.rs
@@ -129,8 +129,8 @@
 
     /// The note beside each value: started followers and failed calls.
     fn start_note(&self) -> String {
-        let StartsMeasurement { started, followers: asked, counters, .. } = self;
-        format!("{started} of {asked} started; {} of {} calls failed", counters.failures, counters.calls)
+        let StartsMeasurement { started, followers, counters, .. } = self;
+        format!("{started} of {followers} started; {} of {} calls failed", counters.failures, counters.calls)
     }
 }
 
