--- a/crates/pondlb-server/src/program/live_settings.rs
+++ b/crates/pondlb-server/src/program/live_settings.rs
@@ -56,7 +56,7 @@
             return;
         }
         router.apply_config_changes(now, &applied.config_changes);
-        self.frontend.change_classes(applied.class_indices);
+        self.frontend.change_classes(applied.class_indexes);
         let max_retry_after = self.settings.balancer_limits().max_retry_after;
         self.frontend.overload_retry_after.set(overload_retry_after(max_retry_after));
         let limits = self.connection_limits();
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -7,6 +7,7 @@
 
 use pondlb::{RequestId, TenthMillis};
 use pondlb_http::MessageError;
+use pondlb_terms::ClassIndex;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -81,9 +82,9 @@
 impl Frontend {
     /// Adds and removes classes and changes their indexes. A class without an index is removed. Requests that are read
     /// from now on may name the classes that are left.
-    pub fn change_classes(&self, changes: Vec<(String, Option<u32>)>) {
+    pub fn change_classes(&self, changes: Vec<ClassIndex>) {
         let mut classes = self.classes.borrow_mut();
-        for (name, index) in changes {
+        for ClassIndex { name, index } in changes {
             match index {
                 Some(index) => classes.insert(name, index),
                 None => classes.remove(&name),
--- a/crates/pondlb-terms/src/lib.rs
+++ b/crates/pondlb-terms/src/lib.rs
@@ -8,7 +8,7 @@
 mod target;
 
 use pondlb::{BalancerConfig, TenthMillis};
-pub use settings::{AppliedChanges, SettingChange, Settings, SettingsDiff, check_change};
+pub use settings::{AppliedChanges, ClassIndex, SettingChange, Settings, SettingsDiff, check_change};
 pub use target::Target;
 
 /// A message that says what is wrong with the settings or with an upstream's entry, and names the key at fault.
--- a/crates/pondlb-terms/src/settings.rs
+++ b/crates/pondlb-terms/src/settings.rs
@@ -26,12 +26,20 @@
 pub struct AppliedChanges {
     /// Changes of the balancer's configuration, in the order in which it has to apply them.
     pub config_changes: Vec<ConfigChange>,
-    /// The names of the classes that changed, each with its index from now on; `None` for a removed class.
-    pub class_indices: Vec<(String, Option<u32>)>,
+    /// The classes that were added, changed or removed.
+    pub class_indexes: Vec<ClassIndex>,
     /// How many settings have another value than before.
     pub changed_count: usize,
 }
 
+/// The index of a class by which requests refer to it in the balancer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClassIndex {
+    pub name: String,
+    /// The index from now on; `None` for a removed class.
+    pub index: Option<u32>,
+}
+
 /// The difference between the settings in force and those of a reloaded file.
 pub struct SettingsDiff {
     changes: Vec<ParsedChange>,
@@ -356,7 +364,8 @@
                 ParsedChange::Class { name, setting } => {
                     let class = setting.as_ref().map(|setting| setting.class.clone());
                     let Some(index) = self.classes.set(&name, setting, in_file) else { continue };
-                    applied.class_indices.push((name, class.as_ref().map(|_| index)));
+                    let class_index = class.as_ref().map(|_| index);
+                    applied.class_indexes.push(ClassIndex { name, index: class_index });
                     applied.config_changes.push(ConfigChange::Class { index, class });
                     applied.changed_count += 1;
                 }
--- a/crates/pondlb-terms/tests/changes.rs
+++ b/crates/pondlb-terms/tests/changes.rs
@@ -34,7 +34,8 @@
 }
 
 fn describe(applied: &AppliedChanges) -> String {
-    let mut text = format!("{} changed, classes {:?}\n", applied.changed_count, applied.class_indices);
+    let classes: Vec<_> = applied.class_indexes.iter().map(|class| (&class.name, class.index)).collect();
+    let mut text = format!("{} changed, classes {classes:?}\n", applied.changed_count);
     for change in &applied.config_changes {
         match change {
             ConfigChange::Class { index, class } => writeln!(text, "class {index}: {class:?}").unwrap(),
