--- a/crates/pondlb-control-net/src/client/connection.rs
+++ b/crates/pondlb-control-net/src/client/connection.rs
@@ -104,7 +104,7 @@
         Ok(Err(error)) => Err(failure(error.to_string())),
         Ok(Ok(stream)) => {
             // Without TCP_NODELAY requests are only slower.
-            let _ignored = stream.set_nodelay(true);
+            let _ = stream.set_nodelay(true);
             Ok(stream)
         }
     }
--- a/crates/pondlb-control-net/src/client/driver.rs
+++ b/crates/pondlb-control-net/src/client/driver.rs
@@ -185,7 +185,7 @@
         let (version, change_count) = (update.version, update.changes.len());
         let (applied, applied_receiver) = oneshot::channel();
         // If the consumer has dropped its receiver, `follow` cancels this driver at its next wait.
-        let _consumer_ended = self.deliveries.send(UpdateDelivery { update, applied });
+        let _ = self.deliveries.send(UpdateDelivery { update, applied });
         if applied_receiver.await.is_ok() {
             self.status.count_applied_update(version, change_count);
         }
--- a/crates/pondlb-control-net/src/server/connection.rs
+++ b/crates/pondlb-control-net/src/server/connection.rs
@@ -96,7 +96,7 @@
     if connection.stream.shutdown().await.is_ok() {
         let mut unread = [0; 1024];
         let read_to_end = async { while matches!(connection.stream.read(&mut unread).await, Ok(1..)) {} };
-        let _timed_out = timeout(LINGER_TIMEOUT, read_to_end).await;
+        let _ = timeout(LINGER_TIMEOUT, read_to_end).await;
     }
 }
 
@@ -108,7 +108,7 @@
 impl Connection {
     fn new(stream: TcpStream, max_body_bytes: usize) -> Connection {
         // Without TCP_NODELAY responses are only slower.
-        let _ignored = stream.set_nodelay(true);
+        let _ = stream.set_nodelay(true);
         Connection { stream, reader: MessageReader::with_max_body(request_framing, max_body_bytes) }
     }
 
--- a/crates/pondlb-control-net/src/server/mod.rs
+++ b/crates/pondlb-control-net/src/server/mod.rs
@@ -149,7 +149,7 @@
             state.apply_update(&update);
             log::debug!("applied version {} with {} changes", update.version, update.changes.len());
             // The receiver is gone if the follower has ended.
-            let _ignored = applied.send(());
+            let _ = applied.send(());
         }
     };
     tokio::select! {
--- a/crates/pondlb-control-net/tests/common/mod.rs
+++ b/crates/pondlb-control-net/tests/common/mod.rs
@@ -87,7 +87,8 @@
     /// Stops the server and returns when all of its sockets are closed.
     pub async fn stop(self) {
         self.task.abort();
-        let _cancelled = self.task.await;
+        // The result of a cancelled task is an error.
+        let _ = self.task.await;
     }
 
     /// Sends a commit and returns the response.
@@ -151,7 +152,7 @@
             while let Some(UpdateDelivery { update, applied }) = deliveries.recv().await {
                 applied_version.set(update.version);
                 apply(&mut applied_records.borrow_mut(), update);
-                let _ignored = applied.send(());
+                let _ = applied.send(());
             }
         });
         let driver = spawn_local(follow(config, validate_json_shape, sender, status.clone()));
@@ -250,7 +251,7 @@
     let mut client = RawClient::connect(address).await;
     let head = format!("POST {target} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n", body.len());
     // If the request is too long, the server may respond and close before all of it is written.
-    let _ignored = client.stream.write_all((head + body).as_bytes()).await;
+    let _ = client.stream.write_all((head + body).as_bytes()).await;
     client.read_response().await.expect("a response")
 }
 
--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -79,7 +79,7 @@
         let proxy = proxy.clone();
         spawn_local(async move {
             // A connection that fails is closed, and its follower reconnects.
-            let _closed = proxy.forward(follower).await;
+            let _ = proxy.forward(follower).await;
         });
     }
 }
--- a/crates/pondlb-lab/src/fleet.rs
+++ b/crates/pondlb-lab/src/fleet.rs
@@ -189,7 +189,7 @@
             _ = self.answer_requests(&recorder, &mut connection, balancer) => {}
             _ = alive.wait_for(|up| !*up) => {
                 // With zero linger the close sends a reset, as at the death of a process.
-                let _unset = connection.stream.set_zero_linger();
+                let _ = connection.stream.set_zero_linger();
             }
         }
         self.open_connections.set(self.open_connections.get() - 1);
@@ -545,10 +545,10 @@
                         self.changed.notified().await;
                     }
                 };
-                let _timed_out = timeout(hold, change).await;
+                let _ = timeout(hold, change).await;
             }
             if self.is_down.get() {
-                let _ended = connection.write(&format_response(503, "", "")).await;
+                let _ = connection.write(&format_response(503, "", "")).await;
                 return;
             }
             let list = self.upstream_list(recorder, upstreams, balancer);
--- a/crates/pondlb-lab/src/http.rs
+++ b/crates/pondlb-lab/src/http.rs
@@ -50,7 +50,8 @@
 impl HttpConnection {
     /// Wraps a connected stream, and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream) -> Self {
-        let _unset = stream.set_nodelay(true);
+        // Without TCP_NODELAY messages are only slower.
+        let _ = stream.set_nodelay(true);
         HttpConnection { stream, received_bytes: 0, buffer: Vec::new() }
     }
 
--- a/crates/pondlb-lab/src/load.rs
+++ b/crates/pondlb-lab/src/load.rs
@@ -148,7 +148,7 @@
         }));
     }
     for task in open {
-        let _ended = task.await;
+        let _ = task.await;
     }
     timer.abort();
 }
--- a/crates/pondlb-lab/src/scale/proxy.rs
+++ b/crates/pondlb-lab/src/scale/proxy.rs
@@ -55,7 +55,7 @@
         let is_blocked = is_blocked.subscribe();
         spawn_local(async move {
             // An error closes the connection on both sides, which each side notices by itself.
-            let _closed = forward(client, server, is_blocked).await;
+            let _ = forward(client, server, is_blocked).await;
         });
     }
 }
--- a/crates/pondlb-lab/src/scale/tap.rs
+++ b/crates/pondlb-lab/src/scale/tap.rs
@@ -108,7 +108,7 @@
                 let log = log.clone();
                 spawn_local(async move {
                     // An error closes the connection on both sides, which each side notices by itself.
-                    let _closed = forward(balancer, server, &log).await;
+                    let _ = forward(balancer, server, &log).await;
                 });
             }
         });
--- a/crates/pondlb-lab/src/slopes/stubs.rs
+++ b/crates/pondlb-lab/src/slopes/stubs.rs
@@ -174,7 +174,7 @@
                         self.changed.notified().await;
                     }
                 };
-                let _timed_out = timeout(Duration::from_millis(hold_ms), new_version).await;
+                let _ = timeout(Duration::from_millis(hold_ms), new_version).await;
             }
             let response = self.response_since(from);
             let mut traffic = self.traffic.get();
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -312,7 +312,8 @@
             && new_address != old_address
         {
             self.router.discovery_address_changed(self.clock.now());
-            let _ended = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
+            // The receiver is gone where the discovery client has ended.
+            let _ = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
             self.startup_settings.discovery = Some(new_address);
         }
     }
@@ -340,7 +341,8 @@
             }
         }
         self.retry_refused_changes();
-        let _ended = applied_sender.send(());
+        // The receiver is gone where the control client has ended.
+        let _ = applied_sender.send(());
     }
 
     /// Applies refused records that have become valid with the current settings, and reports the number of the others
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -69,7 +69,8 @@
         let task = spawn_local(async move {
             let id = attempt.id.clone();
             let result = run_attempt(&pool, clock, memory, attempt, &set_written).await;
-            let _ended = router_tx.send(RouterEvent::AttemptEnded { attempt: id, result });
+            // The receiver is gone only while the process exits.
+            let _ = router_tx.send(RouterEvent::AttemptEnded { attempt: id, result });
         });
         AttemptTask { handle: task.abort_handle(), is_written }
     }
@@ -84,7 +85,7 @@
             let probe = run_probe(&pool, memory, &settings.path, &upstream, address, deadline);
             let result = timeout_at(deadline, probe).await;
             let (outcome, load) = result.unwrap_or((Outcome::TimedOut, Load::default()));
-            let _ended = router_tx.send(RouterEvent::ProbeEnded {
+            let _ = router_tx.send(RouterEvent::ProbeEnded {
                 upstream,
                 outcome,
                 duration: clock.now() - start,
@@ -94,11 +95,12 @@
     }
 
     fn watch_list(&mut self, enabled: bool) {
-        let _ended = self.discovery_tx.send(DiscoveryCommand::WatchList { enabled });
+        // The receiver is gone where the discovery client has ended.
+        let _ = self.discovery_tx.send(DiscoveryCommand::WatchList { enabled });
     }
 
     fn fetch_list(&mut self) {
-        let _ended = self.discovery_tx.send(DiscoveryCommand::FetchList);
+        let _ = self.discovery_tx.send(DiscoveryCommand::FetchList);
     }
 
     fn close_idle_connections(&mut self, upstream: &str) {
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -94,7 +94,8 @@
 
     /// Serves the requests of one connection until it ends.
     pub async fn serve(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
-        let _unset = stream.set_nodelay(true);
+        // Without TCP_NODELAY answers are only slower.
+        let _ = stream.set_nodelay(true);
         let mut reader = RequestReader::new();
         let mut is_used = false;
         loop {
@@ -228,7 +229,7 @@
 
     fn report_disconnect(&self, request: RequestId) {
         // The router outlives every connection but at the very end, when no answer is due any more.
-        let _ended = self.router_tx.send(RouterEvent::ClientDisconnected { request });
+        let _ = self.router_tx.send(RouterEvent::ClientDisconnected { request });
     }
 }
 
@@ -283,5 +284,5 @@
     if SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let _is_late = timeout(LINGER_TIMEOUT, discard_input(stream, MAX_LINGER_BYTES)).await;
+    let _ = timeout(LINGER_TIMEOUT, discard_input(stream, MAX_LINGER_BYTES)).await;
 }
--- a/crates/pondlb-server/src/transport/control.rs
+++ b/crates/pondlb-server/src/transport/control.rs
@@ -89,7 +89,8 @@
                 return;
             }
             self.log_version(version, record_count);
-            let _ended = applied.send(());
+            // The receiver is gone where the control client has ended.
+            let _ = applied.send(());
         }
     }
 
--- a/crates/pondlb-server/src/transport/pool.rs
+++ b/crates/pondlb-server/src/transport/pool.rs
@@ -105,7 +105,8 @@
         let deadline = deadline.min(Instant::now() + self.connect_timeout.get());
         match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                let _unset = stream.set_nodelay(true);
+                // Without TCP_NODELAY requests are only slower.
+                let _ = stream.set_nodelay(true);
                 Ok(PooledConnection { stream, address, _slot: slot })
             }
             Ok(Err(_)) => Err(ConnectError::Failed),
--- a/crates/pondlb-server/tests/helper/mod.rs
+++ b/crates/pondlb-server/tests/helper/mod.rs
@@ -119,17 +119,18 @@
         event_sender: &Sender<UpstreamEvent>,
         answer_receiver: &Mutex<Receiver<&'static str>>,
     ) {
-        let _test_ended = event_sender.send(UpstreamEvent::Connected);
+        // The receiver is gone where the test has ended.
+        let _ = event_sender.send(UpstreamEvent::Connected);
         while let Some(request) = read_message(&mut stream) {
             let is_load_probe = request.head.starts_with("GET /load ");
-            let _test_ended = event_sender.send(UpstreamEvent::Request(request));
+            let _ = event_sender.send(UpstreamEvent::Request(request));
             match behavior {
                 UpstreamBehavior::IgnoreLoadProbes(_) if is_load_probe => {}
                 UpstreamBehavior::IgnoreLoadProbes(text) | UpstreamBehavior::Answer(text) => {
-                    drop(stream.write_all(text.as_bytes()))
+                    let _ = stream.write_all(text.as_bytes());
                 }
                 UpstreamBehavior::AnswerAndClose(text, delay_ms) => {
-                    let _closed = stream.write_all(text.as_bytes());
+                    let _ = stream.write_all(text.as_bytes());
                     thread::sleep(Duration::from_millis(delay_ms));
                     return;
                 }
@@ -140,11 +141,11 @@
                 UpstreamBehavior::Silent => {}
                 UpstreamBehavior::AnswerOnDemand => {
                     let Ok(answer) = answer_receiver.lock().unwrap().recv() else { return };
-                    let _closed = stream.write_all(answer.as_bytes());
+                    let _ = stream.write_all(answer.as_bytes());
                 }
             }
         }
-        let _test_ended = event_sender.send(UpstreamEvent::Closed);
+        let _ = event_sender.send(UpstreamEvent::Closed);
     }
 
     /// Takes the next event; fails the test if there is none within [`WAIT_TIMEOUT`].
@@ -237,7 +238,8 @@
     let fillers: Vec<Socket> = (0..4).map(|_| new_socket()).collect();
     for filler in &fillers {
         filler.set_nonblocking(true).unwrap();
-        let _in_progress = filler.connect(&address);
+        // A nonblocking connect returns an error while it is in progress.
+        let _ = filler.connect(&address);
     }
     FullBacklogListener { address: address.as_socket().unwrap(), listener, fillers }
 }
@@ -572,8 +574,9 @@
 
 impl Drop for Balancer {
     fn drop(&mut self) {
-        let _exited = self.child.kill();
-        let _reaped = self.child.wait();
+        // The process may have exited already.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
--- a/crates/pondlb-server/tests/service.rs
+++ b/crates/pondlb-server/tests/service.rs
@@ -209,7 +209,7 @@
     for client in &mut slow {
         // The balancer may reject the request and close the connection before it has read all of it.
         let incomplete = &large_request.as_bytes()[..large_request.len() - 2];
-        let _reset = client.stream.write_all(incomplete);
+        let _ = client.stream.write_all(incomplete);
     }
     sleep(200 * MS);
     let rejected = slow.iter_mut().filter_map(|client| {
@@ -237,7 +237,7 @@
     let balancer = options.start();
     let mut clients: Vec<Client> = (0..150).map(|_| balancer.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        let _reset = client.stream.write_all(request_with_largest_body(&format!("a{n}")).as_bytes());
+        let _ = client.stream.write_all(request_with_largest_body(&format!("a{n}")).as_bytes());
     }
     wait_until("the memory for requests is used up", || balancer.health_status() == "503");
     assert!(balancer.peak_resident_kib() < 32 * 1024, "{} KiB", balancer.peak_resident_kib());
@@ -371,7 +371,7 @@
         client.send(head.strip_suffix("work").unwrap());
         let piece = format!("10000\r\n{}\r\n", "x".repeat(65_536));
         // Only a part of the body: what a client may have sent before it can read the answer.
-        let _closed = (0..3).try_for_each(|_| client.stream.write_all(piece.as_bytes()));
+        let _ = (0..3).try_for_each(|_| client.stream.write_all(piece.as_bytes()));
         assert_eq!(client.read().expect("an answer").status(), "413");
     }
     let peak_kib = balancer.peak_resident_kib();
--- a/crates/pondlb-server/tests/stale_list/discovery.rs
+++ b/crates/pondlb-server/tests/stale_list/discovery.rs
@@ -136,7 +136,7 @@
 /// Reads calls without answering them until the peer closes the connection.
 fn hang(stream: &mut TcpStream) {
     while read_message(stream).is_some() {}
-    let _closed = stream.shutdown(Shutdown::Both);
+    let _ = stream.shutdown(Shutdown::Both);
 }
 
 /// The answer to a call: at once if the list has changed since the call's version, else when its hold time has passed.
