--- a/crates/pondlb-control/src/digest.rs
+++ b/crates/pondlb-control/src/digest.rs
@@ -34,7 +34,7 @@
 }
 
 /// The hasher for hash tables of keys. Unlike the standard library's default it does not resist keys that are chosen to
-/// collide: whoever can choose keys is allowed to commit records anyway.
+/// collide: a client that can choose keys is allowed to commit records anyway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyHasher(u64);
 
--- a/crates/pondlb-control/tests/histories.rs
+++ b/crates/pondlb-control/tests/histories.rs
@@ -172,7 +172,7 @@
 }
 
 /// Corrupts a response in a way that its records, digests and checks must reveal. The version is never made newer than
-/// the server's, as such a response could not be told from one with new changes.
+/// the server's, as such a response could not be distinguished from one with new changes.
 fn corrupt(response: &mut ReplicaResponse, random: &mut WyRand) {
     match response {
         ReplicaResponse::Changes(response) => match random.generate_range(0..12) {
--- a/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted-control.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// One in so many of the responses that could be altered is.
+/// Of the responses that could be altered, one in this many is.
 const ALTERED_ONE_IN: u64 = 3;
 const CHANGES_PATH: &str = "/control/changes?";
 
--- a/crates/pondlb-lab/src/bin/pondlb-planted.rs
+++ b/crates/pondlb-lab/src/bin/pondlb-planted.rs
@@ -19,7 +19,7 @@
 const CRASH_REQUEST: usize = 20;
 /// `parks`: how long a request is kept waiting before it is rejected.
 const PARK_DURATION: Duration = Duration::from_millis(850);
-/// `loses`: one in so many requests is never answered.
+/// `loses`: one request in this many is never answered.
 const LOST_ONE_IN: usize = 10;
 /// `posts-after`: how long after the response the request is sent to an upstream again.
 const LATE_ATTEMPT_DELAY: Duration = Duration::from_millis(200);
--- a/crates/pondlb-lab/src/judge.rs
+++ b/crates/pondlb-lab/src/judge.rs
@@ -192,7 +192,7 @@
     violations
 }
 
-/// The first late attempt of each balancer at each upstream of whose drain it was told.
+/// The first late attempt of each balancer at each upstream of whose drain it was notified.
 fn drain_violations(scenario: &Scenario, ledgers: &Ledgers) -> Vec<Violation> {
     let grace_us = scenario.rules.drain_grace_ms * 1000 + TOLERANCE_US;
     let late_attempt = |notice: &DrainNotice| {
--- a/crates/pondlb-lab/src/ledger.rs
+++ b/crates/pondlb-lab/src/ledger.rs
@@ -70,10 +70,10 @@
     pub answer_body: Option<String>,
 }
 
-/// Discovery has told a balancer that an upstream is leaving.
+/// Discovery has notified a balancer that an upstream is leaving.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DrainNotice {
-    /// The balancer that was told.
+    /// The balancer that was notified.
     pub balancer: u32,
     /// Index of the upstream that is leaving.
     pub upstream: usize,
--- a/crates/pondlb-lab/src/scale/hollow_processes.rs
+++ b/crates/pondlb-lab/src/scale/hollow_processes.rs
@@ -197,7 +197,7 @@
         self.processes.iter().filter_map(|process| process.child.id()).collect()
     }
 
-    /// A message for each process that has exited although nobody ended it, with the last line of its log.
+    /// A message for each process that has exited without being killed by the run, with the last line of its log.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let folder = self.folder.path();
         let exit_message = |(number, process): (usize, &mut ChildProcess)| {
--- a/crates/pondlb-lab/src/scale/records.rs
+++ b/crates/pondlb-lab/src/scale/records.rs
@@ -275,7 +275,7 @@
     TRAFFIC_CLASSES.get(number as usize).map_or_else(|| format!("class-{number}"), ToString::to_string)
 }
 
-/// A distinct loopback address for each upstream that is not served; nobody listens on it.
+/// A distinct loopback address for each upstream that is not served; no process listens on it.
 fn unserved_address(number: u32) -> SocketAddr {
     let [_, high, middle, low] = number.to_be_bytes();
     SocketAddr::from(([127, 64 + (high & 63), middle, low], UNSERVED_PORT))
--- a/crates/pondlb-lab/src/scale/servers.rs
+++ b/crates/pondlb-lab/src/scale/servers.rs
@@ -333,7 +333,7 @@
         &self.servers[number].name
     }
 
-    /// A message for each server that has exited although nobody killed it.
+    /// A message for each server that has exited without being killed by the run.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let exit_message = |server: &mut ServerProcess| {
             let status = server.child.as_mut()?.try_wait().ok()??;
@@ -396,7 +396,7 @@
     Err(io::Error::other(format!("{}: {}", answer.status, answer.body.trim())))
 }
 
-/// Distinct addresses that nobody listens on. All ports are bound at the same time, because otherwise the system could
+/// Distinct addresses that no process listens on. All ports are bound at the same time, because otherwise the system could
 /// return the same port twice.
 fn free_addresses(listen: IpAddr, count: usize) -> io::Result<Vec<SocketAddr>> {
     let listeners: Vec<TcpListener> =
--- a/crates/pondlb-lab/src/scenario.rs
+++ b/crates/pondlb-lab/src/scenario.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long a balancer may go on sending to an upstream after it was told of its drain.
+    /// How long a balancer may go on sending to an upstream after it was notified of its drain.
     pub drain_grace_ms: u64,
     /// The share of its full capacity that an upstream has at its start.
     #[serde(rename = "cold_share")]
--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -417,9 +417,9 @@
     }
 }
 
-/// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream is told
-/// to drain must reach it within half of the drain grace. If the grace is 0, half of [`CONNECTION_LIMIT_MARGIN`] is
-/// left.
+/// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream
+/// begins to drain must reach it within half of the drain grace. If the grace is 0, half of
+/// [`CONNECTION_LIMIT_MARGIN`] is left.
 pub(super) fn connect_timeout(limits: &ConnectionLimits) -> TenthMillis {
     limits.connect_timeout.min((limits.drain_grace + CONNECTION_LIMIT_MARGIN) / 2)
 }
--- a/crates/pondlb-server/src/protocol/client.rs
+++ b/crates/pondlb-server/src/protocol/client.rs
@@ -177,7 +177,7 @@
     (ns <= MAX_DURATION_NS).then_some(ns)
 }
 
-/// Fields of an upstream's response that are meant for the balancer, or that it writes anew.
+/// Fields of an upstream's response that are meant for the balancer, or that it replaces.
 const STRIPPED_FIELDS: [&str; 3] = ["Content-Length", "Srv-Load", "Srv-Declined"];
 
 /// Encodes the response for an answer. With `close` it tells the client that the connection ends with it.
--- a/crates/pondlb-server/src/protocol/upstream.rs
+++ b/crates/pondlb-server/src/protocol/upstream.rs
@@ -7,7 +7,7 @@
 
 use super::answer::Answer;
 
-/// Fields of a client's request that each attempt writes anew.
+/// Fields of a client's request that each attempt replaces.
 const REWRITTEN_FIELDS: [&str; 4] = ["Content-Length", "Req-Id", "Req-Deadline", "Expect"];
 /// Responses may be longer than requests; upstreams have given some of 400 KB. A longer one than this is refused, since
 /// it might never end.
--- a/crates/pondlb-server/src/routing/events.rs
+++ b/crates/pondlb-server/src/routing/events.rs
@@ -59,7 +59,7 @@
         /// Notified once the changes are applied.
         applied_sender: oneshot::Sender<()>,
     },
-    /// The list was up to date at that time, or no balancer could have been told of a change by then.
+    /// The list was up to date at that time, or no balancer could have been notified of a change by then.
     ListConfirmed { at: TenthMillis },
     /// Discovery refused a call, or its response was not a list.
     ListRefused,
--- a/crates/pondlb-server/src/transport/attempt.rs
+++ b/crates/pondlb-server/src/transport/attempt.rs
@@ -185,8 +185,8 @@
     }
 }
 
-/// Reads one whole response. A connection that ends before any byte of it is told from one that ends within it or
-/// brings a malformed one: the upstream may be dead in the first case, and is alive in the other.
+/// Reads one whole response. A connection that ends before any byte of it is distinguished from one that ends
+/// within it or delivers a malformed one: the upstream may be dead in the first case, and is alive in the other.
 async fn read_response(
     connection: &PooledConnection,
     memory: MemoryLimit,
--- a/crates/pondlb-server/src/transport/discovery/confirmation.rs
+++ b/crates/pondlb-server/src/transport/discovery/confirmation.rs
@@ -19,8 +19,9 @@
 }
 
 impl ListConfirmation {
-    /// Returns the time up to which the list is known to be complete, or up to which no balancer could have been told
-    /// of a change; `None` where the call shows no such time. `hold` is how long discovery was to wait for changes.
+    /// Returns the time up to which the list is known to be complete, or up to which no balancer could have been
+    /// notified of a change; `None` where the call shows no such time. `hold` is how long discovery was to wait for
+    /// changes.
     pub fn record_call(
         &mut self,
         called_at: Instant,
--- a/crates/pondlb-server/src/transport/discovery/mod.rs
+++ b/crates/pondlb-server/src/transport/discovery/mod.rs
@@ -18,7 +18,7 @@
 use crate::protocol::discovery::UpstreamList;
 use crate::routing::RouterEvent;
 
-/// What the client of discovery is told to do.
+/// A command to the discovery client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCommand {
     /// Starts or stops watching the list.
--- a/crates/pondlb-server/src/transport/pool.rs
+++ b/crates/pondlb-server/src/transport/pool.rs
@@ -20,7 +20,7 @@
     open: Cell<usize>,
     idle: RefCell<HashMap<UpstreamId, VecDeque<IdleConnection>>>,
     /// An idle connection is closed after this time, well before its upstream would close it: whether an attempt ran
-    /// can't be told when it was written to a connection that the upstream was just closing.
+    /// is unknown when it was written to a connection that the upstream was just closing.
     idle_timeout: Cell<Duration>,
     /// How long opening a connection may take.
     connect_timeout: Cell<Duration>,
--- a/crates/pondlb-server/src/transport/tests.rs
+++ b/crates/pondlb-server/src/transport/tests.rs
@@ -107,7 +107,7 @@
     Builder::new_current_thread().enable_all().build().unwrap().block_on(run_script(script))
 }
 
-/// Runs a script against a client that knows version 7 and has been told to watch, and returns the trace.
+/// Runs a script against a client that knows version 7 and watches the list, and returns the trace.
 async fn run_script(script: impl AsyncFnOnce(&mut FakeDiscovery)) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (commands, commands_rx) = unbounded_channel();
@@ -165,7 +165,7 @@
         }
         reset(discovery.accept().await);
         discovery.trace_event().await;
-        // A rejection after more than two thirds of the queue margin comes from a proxy that reached nobody.
+        // A rejection after more than two thirds of the queue margin comes from a proxy that did not reach discovery.
         let stream = discovery.accept().await;
         advance(180 * MS).await;
         write_all(&stream, status("503 Down").as_bytes()).await.unwrap();
--- a/crates/pondlb-server/tests/control/mod.rs
+++ b/crates/pondlb-server/tests/control/mod.rs
@@ -64,7 +64,7 @@
         ControlServer::start(listen, role)
     }
 
-    /// Starts an origin whose answers hold at most so many bytes of changes, or a single change.
+    /// Starts an origin whose answers hold at most `piece_bytes` bytes of changes, or a single change.
     fn origin_with_piece_bytes(piece_bytes: usize) -> ControlServer {
         ControlServer::start_with(move || {
             let role =
--- a/crates/pondlb-server/tests/helper/mod.rs
+++ b/crates/pondlb-server/tests/helper/mod.rs
@@ -633,7 +633,7 @@
         read_message(&mut self.stream)
     }
 
-    /// The text of a request whose deadline is so many milliseconds away.
+    /// The text of a request whose deadline is `deadline_ms` milliseconds away.
     pub fn request_text(id: &str, class: &str, deadline_ms: u64) -> String {
         format!(
             "POST /api?x=1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\n\
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -132,7 +132,7 @@
             self.schedule_list_call(now, &update);
         }
         self.forget_gone_upstreams(now);
-        // The stages before the update: the subset is chosen anew only if a stage is different at its end.
+        // The stages before the update: the subset is chosen again only if a stage is different at its end.
         let mut stages_before = BTreeMap::new();
         for entry in entries.iter() {
             let index = self.index_of(entry);
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -18,7 +18,7 @@
 /// `WINDOW_TIME` counts only with this many new samples: with little traffic the window would otherwise never
 /// hold enough of them.
 const MIN_WINDOW_SAMPLES: u32 = 32;
-/// The quantiles are computed anew after this many samples, and not from fewer.
+/// The quantiles are recomputed each time this many samples have been added, and not from fewer.
 const QUANTILE_UPDATE_SAMPLES: u32 = 16;
 /// The bins of the durations: 8 for each power of two, up to 2^20 tenths of a millisecond (105 seconds).
 const DURATION_GROUPING_POWER: u8 = 3;
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -104,8 +104,8 @@
     WaitOver,
     /// The attempt of this number takes longer than expected.
     AttemptOverdue(u32),
-    /// Probes have had their time. The request is tried anew after each batch of events; the alarm only
-    /// causes one.
+    /// The time limit for the answers to probes has passed. Waiting requests are tried again after each batch
+    /// of events; the alarm only causes one.
     ProbesOver,
 }
 
@@ -174,8 +174,8 @@
         self.queue.waiting_cost -= request.cost;
     }
 
-    /// Under overload, drops the waiting requests of least value at once, instead of after a wait that serves
-    /// nobody.
+    /// Under overload, drops the waiting requests of least value at once, instead of after a wait in
+    /// vain.
     pub fn shed_load(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some(&WaitingByValue { request: number, .. }) = self.queue.by_value.first() {
             let request = &self.queue.requests[&number];
--- a/src/balance/upstream.rs
+++ b/src/balance/upstream.rs
@@ -40,7 +40,7 @@
     pub in_flight_limit: f64,
     pub cost_in_flight: f64,
     pub outlier_score: DecayingLevel,
-    /// The cost that was sent lately, to be kept within the budget of a cold upstream.
+    /// The cost that was sent recently, to be kept within the budget of a cold upstream.
     pub recent_cost: DecayingLevel,
     /// When the list last contained the upstream, or first did so no more.
     pub listed_at: TenthMillis,
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -16,7 +16,7 @@
     pub tenants: Vec<Tenant>,
     /// The factor on the value of a request beyond its tenant's quota, from 0 to 1.
     pub over_quota_value: f64,
-    /// Whether an upstream that has served an affinity key lately has less work with further requests of that
+    /// Whether an upstream that has recently served an affinity key has less work with further requests of that
     /// key.
     pub warm_keys: bool,
     /// The greatest number of attempts of a request.
