--- a/src/balance.rs
+++ b/src/balance.rs
@@ -36,30 +36,34 @@
 const MIN_CAPACITY: f64 = 0.01;
 const MAX_CAPACITY: f64 = 1e4;
 
-/// The hedge budget pays for further attempts while one is in flight: what each request served in time adds,
-/// and how much can be saved up.
+/// What each request served in time adds to the hedge budget, the number of further attempts that may be sent
+/// while one is in flight.
 const HEDGES_PER_TIMELY_REQUEST: f64 = 0.1;
+/// The maximum of the hedge budget.
 const MAX_HEDGE_BUDGET: f64 = 4.0;
 
 /// The state of a balancer, and its reactions to events.
 struct Dispatcher {
     config: BalancerConfig,
+    /// The source of all random choices.
     rng: WyRand,
     response_times: ResponseTimes,
     fleet: Fleet,
     queue: Queue,
     /// The number of hedges that may be sent.
     hedge_budget: f64,
-    /// By the index of the tenant.
+    /// The quota buckets of the tenants, by the index of the tenant.
     quotas: Vec<QuotaBucket>,
     /// The highest value of a class.
     max_class_value: f64,
+    /// The lease on the list of upstreams.
     lease: ListLease,
 }
 
 /// The token bucket of one tenant's quota. It holds the tokens of one second, and at least one.
 #[derive(Clone, Default)]
 struct QuotaBucket {
+    /// How many more requests are within the quota.
     tokens: f64,
     refilled_at: TenthMillis,
 }
@@ -120,6 +124,7 @@
         }
     }
 
+    /// Takes the outcome of an attempt; retries or closes its request.
     fn handle_attempt_ended(&mut self, now: TenthMillis, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         let number = self.queue.number_by_id.get(&ended.request).copied();
         self.record_ended_attempt(now, number, ended);
@@ -171,6 +176,7 @@
         self.record_at_upstream(now, ended, cost);
     }
 
+    /// Takes an ended attempt into the estimates of its upstream, zone and kind.
     fn record_at_upstream(&mut self, now: TenthMillis, ended: &EndedAttempt, cost: f64) {
         let &EndedAttempt { outcome, duration, .. } = ended;
         let upstream = &mut self.fleet.upstreams[ended.upstream];
@@ -210,6 +216,7 @@
         self.fleet.relisted.insert(index);
     }
 
+    /// Takes the load that an upstream reported, or the failure of a probe.
     fn record_report(&mut self, now: TenthMillis, index: UpstreamIndex, outcome: Outcome, load: Load) {
         let queued = load.queued.filter(|queued| *queued >= 1.0);
         if let (Some(in_flight), Some(queued)) = (load.in_flight, queued) {
@@ -219,6 +226,7 @@
         self.fleet.upstreams[index].record_report(now, outcome, load);
     }
 
+    /// Opens a request: queues it, or gives it up at once where it would delay too much of higher value.
     fn handle_arrival(&mut self, now: TenthMillis, arrival: Arrival, actions: &mut Vec<Action>) {
         let number = self.queue.next_number;
         self.queue.next_number += 1;
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -18,12 +18,15 @@
 
 /// The decisions of one balancer.
 pub struct Balancer {
+    /// The requests, the upstreams and the choices among them.
     dispatcher: Dispatcher,
+    /// When to call discovery.
     list_calls: ListCalls,
     /// Indices of forgotten upstreams, which new ones take over.
     free_indices: Vec<UpstreamIndex>,
     /// Upstreams that are gone and not forgotten yet.
     gone: BTreeSet<GoneUpstream>,
+    /// How many upstreams each zone and kind has.
     group_sizes: GroupSizes,
     /// The time of the last timer that was set.
     timer_at: Option<TenthMillis>,
@@ -34,6 +37,7 @@
 /// An upstream that is gone, ordered by the time since when.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GoneUpstream {
+    /// Its [`Upstream::listed_at`]: when the list last contained it as gone, or first did not contain it.
     since: TenthMillis,
     index: UpstreamIndex,
 }
@@ -76,7 +80,7 @@
         self.set_timer(now, actions);
     }
 
-    /// Asks for a call at the next time at which something is due, unless an earlier timer is set.
+    /// Requests a timer for the next time at which something is due, unless an earlier timer is set.
     fn set_timer(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         let alarm_at = self.dispatcher.queue.alarms.peek().map(|Reverse(alarm)| alarm.at);
         let lease_end = self.dispatcher.lease.end(&self.dispatcher.config).filter(|end| *end > now);
@@ -119,6 +123,7 @@
         }
     }
 
+    /// Takes a new list or changes of one, or the failure of a call for it.
     fn handle_list_update(&mut self, now: TenthMillis, update: ListUpdate) {
         let (entries, is_complete) = match &update {
             ListUpdate::Refused | ListUpdate::Unreachable | ListUpdate::WatchTimedOut => {
@@ -168,6 +173,7 @@
         }
     }
 
+    /// Schedules the next call to discovery after the last one ended with `last`.
     fn schedule_list_call(&mut self, now: TenthMillis, last: &ListUpdate) {
         let Dispatcher { config, lease, rng, .. } = &mut self.dispatcher;
         self.list_calls.schedule(now, last, lease.time_left(now, config), config, rng);
@@ -251,16 +257,20 @@
 /// The number of upstreams in each zone and of each kind that are not forgotten.
 #[derive(Default)]
 struct GroupSizes {
+    /// Numbers of upstreams by zone; zones without any are not contained.
     zones: BTreeMap<u32, usize>,
+    /// Numbers of upstreams by kind; kinds without any are not contained.
     kinds: BTreeMap<u32, usize>,
 }
 
 impl GroupSizes {
+    /// Counts an upstream in its zone and kind.
     fn add(&mut self, entry: &UpstreamEntry) {
         *self.zones.entry(entry.zone).or_default() += 1;
         *self.kinds.entry(entry.kind).or_default() += 1;
     }
 
+    /// Removes an upstream from the counts of its zone and kind.
     fn remove(&mut self, entry: &UpstreamEntry) {
         for (sizes, group) in [(&mut self.zones, entry.zone), (&mut self.kinds, entry.kind)] {
             if let Some(size) = sizes.get_mut(&group) {
--- a/src/balance/discovery.rs
+++ b/src/balance/discovery.rs
@@ -13,12 +13,13 @@
 /// through an outage only if each call that shows the outage has ended before the lease from the call before
 /// it expires.
 const MAX_UNANSWERED_TIME: TenthMillis = 23 * SECOND / 10;
-/// The longest waits before a call: the first one, or one after an answered call; one after an unanswered
-/// watch; one after discovery was unreachable; and the first one where nothing may be sent until it is
-/// answered.
+/// The longest wait before the first call, and before a call after an answered one.
 const MAX_FIRST_WAIT: TenthMillis = 7 * SECOND / 2;
+/// The longest wait before a call after an unanswered watch.
 const MAX_WAIT_AFTER_WATCH: TenthMillis = 27 * SECOND / 10;
+/// The longest wait before a call after discovery was unreachable.
 const MAX_WAIT_AFTER_UNREACHABLE: TenthMillis = 3 * SECOND / 2;
+/// The longest wait before the first call where nothing may be sent until it is answered.
 const MAX_WAIT_WITHOUT_LEASE: TenthMillis = 3 * SECOND / 10;
 /// The upper end of a spread of waits is at least this, however few the balancers are.
 const MIN_SPREAD: TenthMillis = 3 * SECOND / 2;
@@ -71,7 +72,8 @@
         self.next_call_at = Some(now + rng.generate_range(waits));
     }
 
-    /// A local agent has no other callers, so that calls need no spread over balancers.
+    /// The range of waits before a call to a local agent. It has no other callers, so that calls need no
+    /// spread over balancers.
     fn agent_waits(last: &ListUpdate) -> Range<TenthMillis> {
         match last {
             ListUpdate::WatchTimedOut | ListUpdate::Restored(_) => 0..1,
@@ -79,6 +81,7 @@
         }
     }
 
+    /// The range of waits before a call to a discovery service, which all balancers call.
     fn service_waits(
         &self,
         last: &ListUpdate,
@@ -107,9 +110,9 @@
         }
     }
 
-    /// The balancers together retry often enough that the service is hardly idle while one of them waits. A
-    /// balancer whose lease ends sooner retries sooner, and all retry less often the longer the service
-    /// refuses most calls.
+    /// The range of waits after a refusal. The balancers together retry often enough that the service is
+    /// hardly idle while one of them waits. A balancer whose lease ends sooner retries sooner, and all retry
+    /// less often the longer the service refuses most calls.
     fn retry_waits(&self, lease_left: Option<TenthMillis>, balancer_count: u32) -> Range<TenthMillis> {
         let wait_per_call =
             (RETRY_WAIT_PER_BALANCER * u64::from(balancer_count)).clamp(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
--- a/src/balance/dispatch.rs
+++ b/src/balance/dispatch.rs
@@ -16,23 +16,26 @@
 /// An attempt is overdue after the high quantile of response times, or after this multiple of the mean pace
 /// for its cost where that is longer.
 const OVERDUE_PACE_FACTOR: f64 = 2.0;
-/// The weight of an upstream in another zone, where both zones are equally fast; it grows exponentially with
-/// the logarithm of the own zone's slowdown, and has a minimum.
+/// The weight of an upstream in another zone, where both zones are equally fast.
 const OTHER_ZONE_WEIGHT: f64 = 0.1;
+/// The minimum of the weight of an upstream in another zone.
 const MIN_OTHER_ZONE_WEIGHT: f64 = 0.03;
+/// The weight of another zone is multiplied by the own zone's slowdown relative to it, to this power.
 const ZONE_SLOWDOWN_EXPONENT: f64 = 3.0;
 /// Ejected upstreams get requests only when fewer than one in this many candidates is not ejected.
 const MIN_TRUSTED_DIVISOR: usize = 4;
 /// For a request of at least this multiple of the mean cost, two upstreams are probed for their load.
 const PROBE_COST_FACTOR: f64 = 1.0;
-/// How long a request waits for the answers of both probes, and for that of one.
+/// How long a request waits for the answers of both probes, if one has answered.
 const BOTH_PROBES_TIMEOUT: TenthMillis = 250;
+/// How long a request waits for the first answer of a probe.
 const ONE_PROBE_TIMEOUT: TenthMillis = 1500;
 /// A load report younger than this saves a probe.
 const MAX_FRESH_REPORT_AGE: TenthMillis = 1000;
-/// The part of the concurrency limit that is reserved for requests of higher value: the exponent of its
-/// growth with the difference in value, and its maximum.
+/// The exponent with which the part of the concurrency limit that is reserved for requests of higher value
+/// grows with the difference in value.
 const RESERVE_EXPONENT: i32 = 4;
+/// The maximum of the part of the concurrency limit that is reserved for requests of higher value.
 const MAX_RESERVED_SHARE: f64 = 0.75;
 /// The lowest concurrency limit where upstreams can be probed: the probes protect them well enough from that
 /// few attempts.
--- a/src/balance/estimate.rs
+++ b/src/balance/estimate.rs
@@ -5,15 +5,17 @@
 use super::SECOND;
 use crate::{BalancerConfig, TenthMillis};
 
-/// The quantile of response times after which an attempt counts as slow, and the probability of an answer in
-/// time that the number of planned attempts aims at: with these two values, two attempts are enough.
+/// The quantile of response times after which an attempt counts as slow.
 const HIGH_QUANTILE: f64 = 0.95;
+/// The probability of an answer in time that the number of planned attempts aims at. With `HIGH_QUANTILE` as it
+/// is, two attempts are enough.
 const TARGET_RELIABILITY: f64 = 0.99;
 /// A request is given up when fewer than this fraction of recent answers would come within the time that it
 /// has left.
 const LOW_QUANTILE: f64 = 0.1;
 /// Old samples lose half their weight after this many new ones, or after `WINDOW_TIME`.
 pub const WINDOW_SAMPLES: u32 = 1000;
+/// See `WINDOW_SAMPLES`.
 const WINDOW_TIME: TenthMillis = 5 * SECOND;
 /// `WINDOW_TIME` counts only with this many new samples: with little traffic the window would otherwise never
 /// hold enough of them.
@@ -37,15 +39,17 @@
 
 /// Response times of all upstreams together, and the mean wait before first attempts.
 pub struct ResponseTimes {
+    /// Response times in tenths of a millisecond; the counts are halved as samples age.
     histogram: Histogram,
     /// Samples since the weight of the older ones was halved.
     new_samples: u32,
+    /// When the weight of the older samples was last halved.
     halved_at: TenthMillis,
     /// The response time at `HIGH_QUANTILE`.
     pub high_quantile: TenthMillis,
     /// The response time at `LOW_QUANTILE`: with less time left, an attempt is not worth it.
     pub low_quantile: TenthMillis,
-    /// The mean time that requests wait for their first attempt.
+    /// The mean time that requests wait for their first attempt, in tenths of a millisecond.
     pub mean_wait: f64,
     /// The number of attempts of `high_quantile` each that reach `TARGET_RELIABILITY`.
     attempts_needed: u64,
@@ -90,6 +94,7 @@
         self.update_quantiles();
     }
 
+    /// Computes the quantiles and the number of attempts needed where enough samples have been added.
     fn update_quantiles(&mut self) {
         let total: u64 = self.histogram.as_slice().iter().sum();
         let is_due = self.new_samples.is_multiple_of(QUANTILE_UPDATE_SAMPLES);
@@ -121,8 +126,11 @@
 
 /// The costs of recent requests, and their division into light and heavy ones.
 pub struct CostStats {
+    /// Recent costs, for their median.
     histogram: Histogram,
+    /// The sum of the costs of recent light requests.
     light_sum: f64,
+    /// The sum of the costs of recent heavy requests.
     heavy_sum: f64,
     /// The number of costs in the sums.
     count: u32,
@@ -152,6 +160,7 @@
         is_heavy
     }
 
+    /// The mean cost of recent requests; 0 before the first one.
     pub fn mean(&self) -> f64 {
         self.sum() / f64::from(self.count.max(1))
     }
@@ -166,6 +175,7 @@
         self.heavy_sum == 0.0
     }
 
+    /// The sum of the costs of recent requests.
     fn sum(&self) -> f64 {
         self.light_sum + self.heavy_sum
     }
@@ -176,14 +186,17 @@
 pub struct DecayingLevel {
     /// The level at `updated_at`.
     pub level: f64,
+    /// The time of the last change, from which the level decays.
     pub updated_at: TenthMillis,
 }
 
 impl DecayingLevel {
+    /// The decayed level at a time.
     pub fn value_at(&self, now: TenthMillis, half_life: TenthMillis) -> f64 {
         self.level * (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2()
     }
 
+    /// Adds an amount to the level as decayed by now.
     pub fn add(&mut self, now: TenthMillis, half_life: TenthMillis, amount: f64) {
         (self.level, self.updated_at) = (self.value_at(now, half_life) + amount, now);
     }
@@ -193,7 +206,7 @@
 /// change.
 #[derive(Default)]
 pub struct Pace {
-    /// The mean of the logarithms.
+    /// The mean of the natural logarithms of tenths of a millisecond per unit of cost.
     pub log_mean: f64,
     /// The number of answers in the mean, up to its window.
     pub samples: f64,
@@ -235,6 +248,7 @@
         pace / self.previous_best.map_or(self.best, |previous| previous.min(self.best)).max(1e-9)
     }
 
+    /// The geometric mean, in tenths of a millisecond per unit of cost; 1 before the first answer.
     pub fn mean(&self) -> f64 {
         self.log_mean.exp()
     }
--- a/src/balance/lease.rs
+++ b/src/balance/lease.rs
@@ -49,6 +49,7 @@
         Some((notified_at + config.drain_grace).saturating_sub(MAX_PROCESS_PAUSE))
     }
 
+    /// Whether the lease has expired; never where there is no lease.
     pub fn has_expired(&self, now: TenthMillis, config: &BalancerConfig) -> bool {
         self.end(config).is_some_and(|end| end <= now)
     }
--- a/src/balance/queue.rs
+++ b/src/balance/queue.rs
@@ -18,6 +18,7 @@
 /// An attempt of a request.
 pub struct Attempt {
     pub upstream: UpstreamIndex,
+    /// When it was handed to the front end.
     pub sent_at: TenthMillis,
     /// Whether the attempt has no outcome yet.
     pub in_flight: bool,
@@ -28,6 +29,7 @@
 /// The probes that were sent to choose an upstream for a request.
 #[derive(Default)]
 pub struct ProbeRound {
+    /// When the probes were sent.
     pub started_at: TenthMillis,
     /// The upstreams whose load counts; empty where no probes were sent.
     pub upstreams: Vec<UpstreamIndex>,
@@ -37,13 +39,15 @@
 #[derive(Default)]
 pub struct Request {
     pub id: RequestId,
-    /// The effect and the limits as they were when the request arrived; later changes of the configuration
-    /// don't apply.
+    /// The effect of its class when it arrived; later changes of the configuration don't apply.
     pub effect: Effect,
+    /// The limits on its attempts when it arrived; later changes of the configuration don't apply.
     pub limits: AttemptLimits,
     /// The expected work, as time of a standard core in tenths of a millisecond.
     pub cost: f64,
+    /// Requests with the same key prefer the same upstreams, where the configuration has warm keys.
     pub affinity_key: Option<u64>,
+    /// Whether its cost was above the median of recent costs when it arrived.
     pub is_heavy: bool,
     pub arrived_at: TenthMillis,
     /// The end of its SLA time, or its deadline where that is sooner.
@@ -52,7 +56,9 @@
     pub value_bits: u64,
     /// The latest time to send it, while it waits for that.
     pub waiting_send_by: Option<TenthMillis>,
+    /// All attempts so far, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
+    /// The probes for its next attempt.
     pub probes: ProbeRound,
 }
 
@@ -62,6 +68,7 @@
         f64::from_bits(self.value_bits)
     }
 
+    /// Whether an attempt has no outcome yet.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -71,6 +78,7 @@
         self.attempts.iter().find(|attempt| attempt.in_flight || attempt.may_have_run)
     }
 
+    /// Whether certainly no attempt has taken effect or still can.
     fn never_ran(&self) -> bool {
         self.first_possible_run().is_none()
     }
@@ -92,6 +100,7 @@
 /// A time at which a request needs attention. Alarms are ordered by time, then by request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Alarm {
+    /// When it is due.
     pub at: TenthMillis,
     pub request: RequestNumber,
     pub kind: AlarmKind,
@@ -112,6 +121,7 @@
 /// A waiting request; the one that has to be sent first comes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitingBySendTime {
+    /// The latest time that leaves room for all planned attempts.
     pub send_by: TenthMillis,
     pub request: RequestNumber,
 }
@@ -119,7 +129,9 @@
 /// A waiting request; the one of least value comes first, and among equals the one that can wait longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingByValue {
+    /// See [`Request::value_bits`].
     value_bits: u64,
+    /// The latest time that leaves room for all planned attempts.
     send_by: Reverse<TenthMillis>,
     request: RequestNumber,
 }
@@ -127,7 +139,9 @@
 /// The open requests, and the order of those that wait.
 #[derive(Default)]
 pub struct Queue {
+    /// All open requests, whether they wait or have attempts in flight.
     pub requests: BTreeMap<RequestNumber, Request>,
+    /// The numbers of the open requests by their ids.
     pub number_by_id: HashMap<RequestId, RequestNumber>,
     /// The number of the next request to arrive.
     pub next_number: RequestNumber,
@@ -174,8 +188,7 @@
         self.queue.waiting_cost -= request.cost;
     }
 
-    /// Under overload, drops the waiting requests of least value at once, instead of after a wait in
-    /// vain.
+    /// Under overload, drops the waiting requests of least value at once, instead of after a wait in vain.
     pub fn shed_load(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some(&WaitingByValue { request: number, .. }) = self.queue.by_value.first() {
             let request = &self.queue.requests[&number];
@@ -244,6 +257,7 @@
         }
     }
 
+    /// Queues a request again where an answer could still be in time, and gives it up otherwise.
     fn enqueue_or_give_up(&mut self, now: TenthMillis, number: RequestNumber, actions: &mut Vec<Action>) {
         let has_time_left = now + self.response_times.low_quantile < self.queue.requests[&number].sla_end;
         if has_time_left {
@@ -278,6 +292,7 @@
         }
     }
 
+    /// Records at the upstream and its zone that an attempt takes longer than expected, and queues a hedge.
     fn handle_overdue(&mut self, now: TenthMillis, number: RequestNumber, attempt: u32) {
         let Some(request) = self.queue.requests.get(&number) else { return };
         let attempt = request.attempts.get(attempt as usize).filter(|attempt| attempt.in_flight);
@@ -290,6 +305,8 @@
         }
     }
 
+    /// Ends a wait that took too long; the request is queued again, where another attempt can be in time, or
+    /// given up, unless an attempt is in flight.
     fn handle_wait_over(&mut self, now: TenthMillis, number: RequestNumber, actions: &mut Vec<Action>) {
         let Some(request) = self.queue.requests.get(&number) else { return };
         if request.waiting_send_by.is_none() {
--- a/src/balance/subset.rs
+++ b/src/balance/subset.rs
@@ -7,16 +7,18 @@
 };
 use crate::{BalancerConfig, Stage, TenthMillis, UpstreamEntry, UpstreamId};
 
-/// The size of the subset, for each request that has arrived within the last ten seconds, and at least. It is
-/// rounded down to a power of two.
+/// The size of the subset for each request that has arrived within the last ten seconds. It is rounded down to
+/// a power of two.
 const UPSTREAMS_PER_ARRIVAL: f64 = 0.15;
+/// The smallest size of the subset, if that many upstreams are live.
 const MIN_SUBSET_SIZE: usize = 8;
 /// The subset shrinks only when the arrivals call for less than this fraction of it.
 const SUBSET_SHRINK_THRESHOLD: f64 = 0.7;
 /// The first concurrency limit, for each unit of live capacity.
 const INITIAL_LIMIT_PER_CAPACITY: f64 = 8.0;
-/// The factors on the concurrency limit after an attempt that waited too long, and after one that did not.
+/// The factor on the concurrency limit after an attempt that waited too long.
 const LIMIT_DECREASE_FACTOR: f64 = 0.93;
+/// The factor on the concurrency limit after an attempt that did not wait too long.
 const LIMIT_INCREASE_FACTOR: f64 = 1.02;
 /// The concurrency limit grows only while at least this fraction of it is in use. Requests of the lowest
 /// value may use a smaller fraction only, so that they alone never raise it.
@@ -32,6 +34,7 @@
 /// A live upstream with its random position in this balancer's own order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RankedUpstream {
+    /// A hash of the upstream's id and this balancer's index; the lowest rank comes first.
     rank: u64,
     index: UpstreamIndex,
 }
@@ -42,11 +45,14 @@
 /// All upstreams of this balancer, and its load on them.
 #[derive(Default)]
 pub struct Fleet {
+    /// The indices in `upstreams` of those that are not forgotten.
     pub index_by_id: BTreeMap<UpstreamId, UpstreamIndex>,
+    /// All upstreams that were ever listed; the places of forgotten ones are used again.
     pub upstreams: Vec<Upstream>,
     /// The upstreams in use, in an order that all balancers share: the first `light_count` are for light
     /// requests, the others for heavy ones.
     pub candidates: Vec<UpstreamIndex>,
+    /// How many of the candidates are for light requests.
     pub light_count: usize,
     /// The wanted size of the subset.
     subset_size: usize,
@@ -58,14 +64,17 @@
     pub pace: Pace,
     /// The same with costs divided by the upstream's capacity, to which kinds and zones are compared.
     pub pace_by_capacity: Pace,
+    /// The same for each kind of machines.
     pub kind_paces: BTreeMap<u32, Pace>,
     /// How many requests an upstream works on at once, by the reports of upstreams with a queue.
     pub concurrency_per_upstream: f64,
+    /// What is known of each zone.
     pub zones: BTreeMap<u32, Zone>,
     /// Requests that have arrived in the last ten seconds.
     pub recent_arrivals: DecayingLevel,
-    /// The cost served per time over the last ten seconds.
+    /// The cost served per tenth of a millisecond over the last ten seconds.
     pub served_cost_rate: DecayingLevel,
+    /// The costs of recent requests.
     pub costs: CostStats,
     /// Live upstreams of the balancer's own zone.
     own_zone_ranking: Ranking,
@@ -77,9 +86,11 @@
     live_capacity: Option<f64>,
     /// How many attempts this balancer may have in flight.
     pub concurrency_limit: f64,
-    /// Attempts in flight at all upstreams, and their mean over about `MEAN_IN_FLIGHT_TIME`.
+    /// The number of attempts in flight at all upstreams.
     pub in_flight: f64,
+    /// The mean of `in_flight` over about `MEAN_IN_FLIGHT_TIME`.
     pub mean_in_flight: f64,
+    /// When `in_flight` and its mean were last updated.
     in_flight_updated_at: TenthMillis,
 }
 
@@ -120,8 +131,8 @@
         })
     }
 
-    /// The capacity corrected by the pace of all upstreams of its kind; a single upstream has too few answers
-    /// to know its own pace.
+    /// How fast an upstream serves cost, relative to the others: its capacity corrected by the pace of all
+    /// upstreams of its kind; a single upstream has too few answers to know its own pace.
     pub fn speed(&self, index: UpstreamIndex) -> f64 {
         let entry = &self.upstreams[index].entry;
         entry.capacity * (-self.log_slowdown(self.kind_paces.get(&entry.kind))).exp()
--- a/src/balance/upstream.rs
+++ b/src/balance/upstream.rs
@@ -13,15 +13,17 @@
 pub const OUTLIER_HALF_LIFE: TenthMillis = 4 * SECOND;
 /// An upstream with this outlier score is ejected: it gets no requests while others can serve them.
 pub const EJECTION_SCORE: f64 = 2.0;
+/// The highest outlier score of an upstream.
 const MAX_OUTLIER_SCORE: f64 = 4.0 * EJECTION_SCORE;
 /// The factor on an outlier score for each successful answer.
 pub const ANSWER_SCORE_FACTOR: f64 = 0.7;
-/// What a failure adds to the outlier score, and what a malformed answer adds.
+/// What a failure adds to the outlier score.
 const FAILURE_SCORE: f64 = 1.0;
+/// What a malformed answer adds to the outlier score.
 const SPOILT_SCORE: f64 = 0.25;
-/// What an attempt adds to its zone's outlier score if no answer has come from the zone since it was sent,
-/// and the highest score that such attempts can reach.
+/// What an attempt adds to its zone's outlier score if no answer has come from the zone since it was sent.
 const ZONE_UNANSWERED_SCORE: f64 = 0.5;
+/// The highest outlier score of a zone.
 const MAX_ZONE_SCORE: f64 = 3.0;
 /// A refused probe counts as a report of this many requests in flight.
 const FULL_IN_FLIGHT: f64 = 100.0;
@@ -32,13 +34,17 @@
 /// What this balancer knows of an upstream.
 #[derive(Default)]
 pub struct Upstream {
+    /// Its entry in the list; of stage `Gone` where the list does not contain it.
     pub entry: UpstreamEntry,
     /// A hash of its id, the same at every balancer, which gives the candidates their order.
     pub id_hash: u64,
-    /// Attempts of this balancer without an outcome, the most of them at a time, and the sum of their costs.
+    /// The number of this balancer's attempts without an outcome.
     pub in_flight: u32,
+    /// The most attempts that this balancer may have in flight there at a time.
     pub in_flight_limit: f64,
+    /// The sum of the costs of the attempts in flight.
     pub cost_in_flight: f64,
+    /// Rises with each failure, falls with each answer, and decays with `OUTLIER_HALF_LIFE`.
     pub outlier_score: DecayingLevel,
     /// The cost that was sent recently, to be kept within the budget of a cold upstream.
     pub recent_cost: DecayingLevel,
@@ -46,14 +52,17 @@
     pub listed_at: TenthMillis,
     /// Its capacity, or 0 where it was not live, when the subset was last chosen.
     pub subset_capacity: f64,
-    /// The requests in flight there by its last report, the time of that report, and the cost sent since.
+    /// The requests of all balancers in flight there by its last report; `None` where none is known.
     pub reported_in_flight: Option<f64>,
+    /// The time of its last report or of the end of its last probe.
     pub reported_at: TenthMillis,
+    /// The cost that this balancer has sent since the last successful report.
     pub cost_since_report: f64,
     /// When it last answered.
     answered_at: TenthMillis,
     /// When the latest of the answered attempts was sent.
     answered_sent_at: TenthMillis,
+    /// Its response time per unit of cost, the network round trip counted as cost.
     pace: Pace,
 }
 
@@ -170,13 +179,14 @@
         }
     }
 
+    /// Halves the in-flight limit, down to this balancer's share of the capacity and at least 1.
     fn halve_in_flight_limit(&mut self, config: &BalancerConfig) {
         let min_limit = config.own_share(self.entry.capacity);
         self.in_flight_limit = (self.in_flight_limit / 2.0).max(min_limit).max(1.0);
     }
 
-    /// The score also grows in proportion to itself, so that an upstream which fails each trial request is
-    /// tried less and less often.
+    /// Adds a step to the outlier score. The score also grows in proportion to itself, so that an upstream
+    /// which fails each trial request is tried less and less often.
     fn raise_outlier_score(&mut self, now: TenthMillis, step: f64) {
         let level = self.outlier_score.value_at(now, OUTLIER_HALF_LIFE) * (1.0 + step / 2.0) + step;
         self.outlier_score = DecayingLevel { level: level.min(MAX_OUTLIER_SCORE), updated_at: now };
@@ -186,7 +196,10 @@
 /// What this balancer knows of the upstreams of one zone together.
 #[derive(Default)]
 pub struct Zone {
+    /// Response time per unit of cost, with costs divided by the upstream's capacity.
     pub pace: Pace,
+    /// Rises with each attempt to a zone that does not answer, falls with each answer, and decays with
+    /// `OUTLIER_HALF_LIFE`.
     pub outlier_score: DecayingLevel,
     /// When an upstream of the zone last answered.
     pub answered_at: TenthMillis,
