--- a/crates/pondlb-server/src/program/service.rs
+++ b/crates/pondlb-server/src/program/service.rs
@@ -312,7 +312,8 @@
             && new_address != old_address
         {
             self.router.discovery_address_changed(self.clock.now());
-            let _ended = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
+            // The receiver is gone where the discovery client has ended.
+            let _ = self.discovery_tx.send(DiscoveryCommand::ChangeAddress(new_address));
             self.startup_settings.discovery = Some(new_address);
         }
     }
@@ -340,7 +341,8 @@
             }
         }
         self.retry_refused_changes();
-        let _ended = applied_sender.send(());
+        // The receiver is gone where the control client has ended.
+        let _ = applied_sender.send(());
     }
 
     /// Applies refused records that have become valid with the current settings, and reports the number of the others
@@ -415,9 +417,9 @@
     }
 }
 
-/// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream is told
-/// to drain must reach it within half of the drain grace. If the grace is 0, half of [`CONNECTION_LIMIT_MARGIN`] is
-/// left.
+/// How long opening a connection to an upstream may take. An attempt that is still connecting when its upstream
+/// begins to drain must reach it within half of the drain grace. If the grace is 0, half of
+/// [`CONNECTION_LIMIT_MARGIN`] is left.
 pub(super) fn connect_timeout(limits: &ConnectionLimits) -> TenthMillis {
     limits.connect_timeout.min((limits.drain_grace + CONNECTION_LIMIT_MARGIN) / 2)
 }
--- a/crates/pondlb-server/src/transport/client.rs
+++ b/crates/pondlb-server/src/transport/client.rs
@@ -7,6 +7,7 @@
 
 use pondlb::{RequestId, TenthMillis};
 use pondlb_http::MessageError;
+use pondlb_terms::ClassIndex;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -81,9 +82,9 @@
 impl Frontend {
     /// Adds and removes classes and changes their indexes. A class without an index is removed. Requests that are read
     /// from now on may name the classes that are left.
-    pub fn change_classes(&self, changes: Vec<(String, Option<u32>)>) {
+    pub fn change_classes(&self, changes: Vec<ClassIndex>) {
         let mut classes = self.classes.borrow_mut();
-        for (name, index) in changes {
+        for ClassIndex { name, index } in changes {
             match index {
                 Some(index) => classes.insert(name, index),
                 None => classes.remove(&name),
@@ -93,7 +94,8 @@
 
     /// Serves the requests of one connection until it ends.
     pub async fn serve(self: Rc<Self>, stream: TcpStream, slot: ConnectionSlot) {
-        let _unset = stream.set_nodelay(true);
+        // Without TCP_NODELAY answers are only slower.
+        let _ = stream.set_nodelay(true);
         let mut reader = RequestReader::new();
         let mut is_used = false;
         loop {
@@ -227,7 +229,7 @@
 
     fn report_disconnect(&self, request: RequestId) {
         // The router outlives every connection but at the very end, when no answer is due any more.
-        let _ended = self.router_tx.send(RouterEvent::ClientDisconnected { request });
+        let _ = self.router_tx.send(RouterEvent::ClientDisconnected { request });
     }
 }
 
@@ -282,5 +284,5 @@
     if SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let _is_late = timeout(LINGER_TIMEOUT, discard_input(stream, MAX_LINGER_BYTES)).await;
+    let _ = timeout(LINGER_TIMEOUT, discard_input(stream, MAX_LINGER_BYTES)).await;
 }
--- a/crates/pondlb-server/src/transport/pool.rs
+++ b/crates/pondlb-server/src/transport/pool.rs
@@ -20,7 +20,7 @@
     open: Cell<usize>,
     idle: RefCell<HashMap<UpstreamId, VecDeque<IdleConnection>>>,
     /// An idle connection is closed after this time, well before its upstream would close it: whether an attempt ran
-    /// can't be told when it was written to a connection that the upstream was just closing.
+    /// is unknown when it was written to a connection that the upstream was just closing.
     idle_timeout: Cell<Duration>,
     /// How long opening a connection may take.
     connect_timeout: Cell<Duration>,
@@ -105,7 +105,8 @@
         let deadline = deadline.min(Instant::now() + self.connect_timeout.get());
         match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                let _unset = stream.set_nodelay(true);
+                // Without TCP_NODELAY requests are only slower.
+                let _ = stream.set_nodelay(true);
                 Ok(PooledConnection { stream, address, _slot: slot })
             }
             Ok(Err(_)) => Err(ConnectError::Failed),
